--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -27,7 +27,7 @@
 std::string digestOf(const RequestIdentity &identity);
 
 /// A target ended while a request was there.
-struct TargetEnd {
+struct TargetCrash {
     Incarnation target;
     Milliseconds age{}; ///< since it was noticed
     bool isExcused = false; ///< the request was answered by a target afterwards, so it was not what ended this one
@@ -37,7 +37,7 @@
 /// What one host tells another of a request.
 struct SuspectReport {
     std::string digest;
-    std::vector<TargetEnd> ends;
+    std::vector<TargetCrash> ends;
     unsigned trials = 0; ///< that were granted so far
     Milliseconds trialAge{}; ///< since the newest of them
     MSGPACK_DEFINE(digest, ends, trials, trialAge);
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -184,7 +184,7 @@
     }
     Suspect &suspect = suspectOf(report.digest);
     bool isNew = false;
-    for (const TargetEnd &it : report.ends) {
+    for (const TargetCrash &it : report.ends) {
         isNew |= addEnd(suspect, it.target, {now - it.age, it.isExcused});
     }
     if (report.trials > suspect.trials) {
