--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -37,10 +37,10 @@
 /// What one host tells another of a request.
 struct SuspectReport {
     std::string digest;
-    std::vector<TargetCrash> ends;
+    std::vector<TargetCrash> crashes;
     unsigned trials = 0; ///< that were granted so far
     Milliseconds trialAge{}; ///< since the newest of them
-    MSGPACK_DEFINE(digest, ends, trials, trialAge);
+    MSGPACK_DEFINE(digest, crashes, trials, trialAge);
 };
 
 /// Between the last end and the first trial of a request that is shut out; ten times as long to the next one, and
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -179,12 +179,12 @@
 
 bool Quarantine::merge(const SuspectReport &report, bool isDirect, TimePoint now)
 {
-    if (report.ends.empty()) {
+    if (report.crashes.empty()) {
         return false;
     }
     Suspect &suspect = suspectOf(report.digest);
     bool isNew = false;
-    for (const TargetCrash &it : report.ends) {
+    for (const TargetCrash &it : report.crashes) {
         isNew |= addEnd(suspect, it.target, {now - it.age, it.isExcused});
     }
     if (report.trials > suspect.trials) {
@@ -268,7 +268,7 @@
         }
         SuspectReport report{digest, {}, suspect.trials, ageOf(suspect.trialAt, now)};
         for (const auto &[target, end] : suspect.ends) {
-            report.ends.push_back({target, ageOf(end.noticedAt, now), end.isExcused});
+            report.crashes.push_back({target, ageOf(end.noticedAt, now), end.isExcused});
         }
         reports.push_back(std::move(report));
     }
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -186,6 +186,6 @@
     }
     const auto reports = quarantine.changedSince(0, NewsReader::ControlHost, Start + 1s);
     for (const SuspectReport &it : reports) {
-        CHECK(it.ends.size() <= 16);
+        CHECK(it.crashes.size() <= 16);
     }
 }
