--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -38,9 +38,9 @@
 struct SuspectReport {
     std::string digest;
     std::vector<TargetCrash> crashes;
-    unsigned trials = 0; ///< that were granted so far
-    Milliseconds trialAge{}; ///< since the newest of them
-    MSGPACK_DEFINE(digest, crashes, trials, trialAge);
+    unsigned grantedProbes = 0; ///< that were granted so far
+    Milliseconds newestProbeAge{}; ///< since the newest of them
+    MSGPACK_DEFINE(digest, crashes, grantedProbes, newestProbeAge);
 };
 
 /// Between the last end and the first trial of a request that is shut out; ten times as long to the next one, and
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -187,9 +187,9 @@
     for (const TargetCrash &it : report.crashes) {
         isNew |= addEnd(suspect, it.target, {now - it.age, it.isExcused});
     }
-    if (report.trials > suspect.trials) {
-        suspect.trials = report.trials;
-        suspect.trialAt = now - report.trialAge;
+    if (report.grantedProbes > suspect.trials) {
+        suspect.trials = report.grantedProbes;
+        suspect.trialAt = now - report.newestProbeAge;
         isNew = true;
     }
     if (isNew) {
