--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -46,7 +46,7 @@
 /// Between the last end and the first trial of a request that is shut out; ten times as long to the next one, and
 /// again. Each target that a trial ends takes up to ten requests along: at first one a minute may be lost to it, then
 /// less.
-constexpr std::chrono::minutes FirstTrialPause{1};
+constexpr std::chrono::minutes FirstProbeDelay{1};
 
 /// What may be done with a request.
 enum class Standing : std::uint8_t {
@@ -60,7 +60,7 @@
 class Quarantine
 {
 public:
-    explicit Quarantine(Duration firstTrialPause = FirstTrialPause);
+    explicit Quarantine(Duration firstTrialPause = FirstProbeDelay);
 
     /// A target ended under a request. Returns whether that is new.
     bool noteEnd(const std::string &digest, const Incarnation &target, TimePoint now);
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -19,7 +19,7 @@
 /// Bounds of what a caller is told to wait whose request is shut out. Sooner nothing can have changed; later than the
 /// first trial nobody knows.
 constexpr Milliseconds ShortestShutOutAdvice{1000};
-constexpr Milliseconds LongestShutOutAdvice = FirstTrialPause;
+constexpr Milliseconds LongestShutOutAdvice = FirstProbeDelay;
 
 } // namespace
 
--- a/unittests/EndingRequests/EndingRequestTest.cpp
+++ b/unittests/EndingRequests/EndingRequestTest.cpp
@@ -27,7 +27,7 @@
 class EndingSystem
 {
 public:
-    explicit EndingSystem(Duration firstTrialPause = FirstTrialPause)
+    explicit EndingSystem(Duration firstTrialPause = FirstProbeDelay)
         : m_system(ControlLink::Direct, 2 * Patience, 2 * Patience, firstTrialPause)
     {
         nlohmann::json table = nlohmann::json::parse(System::tableText("r2", {"/p/"}));
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -206,7 +206,7 @@
     /// `acknowledge`: in what time operators expect an answer. By default one that no test waits for, since a machine
     /// that is busy may hold a host up.
     explicit System(ControlLink link = ControlLink::Direct, Duration newsLease = 2 * Patience,
-                    Duration acknowledge = 2 * Patience, Duration firstTrialPause = FirstTrialPause)
+                    Duration acknowledge = 2 * Patience, Duration firstTrialPause = FirstProbeDelay)
         : m_folder(std::filesystem::temp_directory_path() / ("pepperlug-fleet-" + randomHex(8)))
     {
         std::filesystem::create_directories(m_folder);
