--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -207,7 +207,7 @@
     std::string digest;
     std::string target; ///< that ended; empty if something else changed
     std::size_t ends = 0; ///< that speak against it
-    Standing standing{};
+    QuarantineStatus standing{};
     bool isOwn = false; ///< noticed here, so other hosts have to be told
 };
 
--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -49,13 +49,13 @@
 constexpr std::chrono::minutes FirstProbeDelay{1};
 
 /// What may be done with a request.
-enum class Standing : std::uint8_t {
+enum class QuarantineStatus : std::uint8_t {
     Free,
     Suspected, ///< two targets ended under it: not sent to another one where the first may have run it
-    ShutOut, ///< three did: not sent at all
-    TrialDue, ///< shut out for long enough that one try may be allowed, in the whole system
+    Quarantined, ///< three did: not sent at all
+    ProbeDue, ///< shut out for long enough that one try may be allowed, in the whole system
 };
-const char *nameOf(Standing standing);
+const char *nameOf(QuarantineStatus standing);
 
 class Quarantine
 {
@@ -74,7 +74,7 @@
     /// Drops what is too old to matter; to be called regularly, and looks now and then. Returns whether it did.
     bool forget(TimePoint now);
 
-    Standing standing(const std::string &digest, TimePoint now) const;
+    QuarantineStatus standing(const std::string &digest, TimePoint now) const;
     /// Until a try may be allowed; nothing if none will be until the request is forgotten, or it is not shut out.
     std::optional<Duration> untilTrial(const std::string &digest, TimePoint now) const;
     /// Ends that speak against a request.
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -74,8 +74,8 @@
 
 bool Balancer::Impl::isShutOut(const OpenRequest &open) const
 {
-    const Standing standing = m_quarantine.standing(open.request.digest, m_now);
-    return !open.isTrial && (standing == Standing::ShutOut || standing == Standing::TrialDue);
+    const QuarantineStatus standing = m_quarantine.standing(open.request.digest, m_now);
+    return !open.isTrial && (standing == QuarantineStatus::Quarantined || standing == QuarantineStatus::ProbeDue);
 }
 
 // Whether a request that was sent may also go to another target. A suspected one that may have run at the first is left
@@ -85,8 +85,9 @@
     if (open.isTrial) {
         return outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::Withdrawn;
     }
-    const Standing standing = m_quarantine.standing(open.request.digest, m_now);
-    return standing == Standing::Free || (standing == Standing::Suspected && isCertainlyNotRun(outcome));
+    const QuarantineStatus standing = m_quarantine.standing(open.request.digest, m_now);
+    return standing == QuarantineStatus::Free
+        || (standing == QuarantineStatus::Suspected && isCertainlyNotRun(outcome));
 }
 
 // What was sent before goes on: if a target answers, the request is free again. Cancelled, one that many callers make
@@ -100,7 +101,7 @@
     const auto isAskedFor = [&](const auto &it) {
         return it.second.awaitsTrial && it.second.request.digest == digest;
     };
-    const bool isTrialDue = m_quarantine.standing(digest, m_now) == Standing::TrialDue;
+    const bool isTrialDue = m_quarantine.standing(digest, m_now) == QuarantineStatus::ProbeDue;
     if (!isTrialDue || std::any_of(m_open.begin(), m_open.end(), isAskedFor)) {
         refuse(open, Refusal::ShutOut);
         return true;
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -43,16 +43,16 @@
 
 } // namespace
 
-const char *nameOf(Standing standing)
+const char *nameOf(QuarantineStatus standing)
 {
     switch (standing) {
-    case Standing::Free:
+    case QuarantineStatus::Free:
         return "free";
-    case Standing::Suspected:
+    case QuarantineStatus::Suspected:
         return "suspected";
-    case Standing::ShutOut:
+    case QuarantineStatus::Quarantined:
         return "shut-out";
-    case Standing::TrialDue:
+    case QuarantineStatus::ProbeDue:
         return "trial-due";
     }
     return "free";
@@ -167,7 +167,7 @@
 
 bool Quarantine::grantTrial(const std::string &digest, TimePoint now)
 {
-    if (standing(digest, now) != Standing::TrialDue) {
+    if (standing(digest, now) != QuarantineStatus::ProbeDue) {
         return false;
     }
     Suspect &suspect = m_suspects.at(digest);
@@ -228,18 +228,18 @@
     return true;
 }
 
-Standing Quarantine::standing(const std::string &digest, TimePoint now) const
+QuarantineStatus Quarantine::standing(const std::string &digest, TimePoint now) const
 {
     const auto it = m_suspects.find(digest);
     const std::size_t ends = it == m_suspects.end() ? 0 : counted(it->second);
     if (ends < EndsToSuspect) {
-        return Standing::Free;
+        return QuarantineStatus::Free;
     }
     if (ends < EndsToShutOut) {
-        return Standing::Suspected;
+        return QuarantineStatus::Suspected;
     }
     const std::optional<TimePoint> due = trialDueAt(it->second);
-    return due && now >= *due ? Standing::TrialDue : Standing::ShutOut;
+    return due && now >= *due ? QuarantineStatus::ProbeDue : QuarantineStatus::Quarantined;
 }
 
 std::optional<Duration> Quarantine::untilTrial(const std::string &digest, TimePoint now) const
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -71,10 +71,10 @@
     SuspectingHost host;
     host.endTarget();
     host.endTarget();
-    CHECK(host.find<SuspectChanged>()->standing == Standing::Suspected);
+    CHECK(host.find<SuspectChanged>()->standing == QuarantineStatus::Suspected);
     CHECK(host.find<SuspectChanged>()->isOwn);
     host.endTarget();
-    CHECK(host.find<SuspectChanged>()->standing == Standing::ShutOut);
+    CHECK(host.find<SuspectChanged>()->standing == QuarantineStatus::Quarantined);
     host.ask();
     CHECK(host.find<StartAttempt>() == nullptr);
     CHECK(host.refusal() == Refusal::ShutOut);
@@ -192,7 +192,7 @@
     CHECK(host.find<PassAnswer>() != nullptr);
     REQUIRE(host.find<SuspectChanged>() != nullptr);
     CHECK(host.find<SuspectChanged>()->isOwn);
-    CHECK(host.find<SuspectChanged>()->standing == Standing::Free);
+    CHECK(host.find<SuspectChanged>()->standing == QuarantineStatus::Free);
     host.ask();
     CHECK(host.find<StartAttempt>() != nullptr);
 }
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -43,15 +43,15 @@
 TEST_CASE("a request is suspected at the second end under it and shut out at the third")
 {
     Quarantine quarantine;
-    CHECK(quarantine.standing(Digest, Start) == Standing::Free);
+    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Free);
     CHECK(quarantine.noteEnd(Digest, target(1), Start));
-    CHECK(quarantine.standing(Digest, Start) == Standing::Free);
+    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Free);
     CHECK_FALSE(quarantine.noteEnd(Digest, target(1), Start + 1s)); // another try of it was at the same end
     CHECK(quarantine.noteEnd(Digest, target(2), Start));
-    CHECK(quarantine.standing(Digest, Start) == Standing::Suspected);
+    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Suspected);
     CHECK(quarantine.noteEnd(Digest, {"i-2", 5ms}, Start)); // the next life under the same id
-    CHECK(quarantine.standing(Digest, Start) == Standing::ShutOut);
-    CHECK(quarantine.standing("another", Start) == Standing::Free);
+    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Quarantined);
+    CHECK(quarantine.standing("another", Start) == QuarantineStatus::Free);
     CHECK(quarantine.shutOut() == 1);
 }
 
@@ -99,15 +99,15 @@
     Quarantine there = withEnds(3);
     CHECK(here.noteAnswer(Digest));
     CHECK_FALSE(here.noteAnswer(Digest));
-    CHECK(here.standing(Digest, Start) == Standing::Free);
+    CHECK(here.standing(Digest, Start) == QuarantineStatus::Free);
     tellAll(here, there);
-    CHECK(there.standing(Digest, Start) == Standing::Free);
+    CHECK(there.standing(Digest, Start) == QuarantineStatus::Free);
     tellAll(withEnds(3), there); // by a host that has not heard of the answer
-    CHECK(there.standing(Digest, Start) == Standing::Free);
+    CHECK(there.standing(Digest, Start) == QuarantineStatus::Free);
     for (unsigned n = 10; n < 13; ++n) {
         there.noteEnd(Digest, target(n), Start);
     }
-    CHECK(there.standing(Digest, Start) == Standing::ShutOut);
+    CHECK(there.standing(Digest, Start) == QuarantineStatus::Quarantined);
 }
 
 TEST_CASE(
@@ -138,19 +138,19 @@
     TimePoint now = Start;
     CHECK_FALSE(quarantine.grantTrial(Digest, now + 59s));
     for (const auto pause : {1min, 10min, 100min}) {
-        CHECK(quarantine.standing(Digest, now + pause - 1s) == Standing::ShutOut);
+        CHECK(quarantine.standing(Digest, now + pause - 1s) == QuarantineStatus::Quarantined);
         CHECK(quarantine.untilTrial(Digest, now + pause - 1s) == Duration(1s));
         now += pause;
-        REQUIRE(quarantine.standing(Digest, now) == Standing::TrialDue);
+        REQUIRE(quarantine.standing(Digest, now) == QuarantineStatus::ProbeDue);
         CHECK(quarantine.grantTrial(Digest, now));
         CHECK_FALSE(quarantine.grantTrial(Digest, now));
         now += 1s;
         quarantine.noteEnd(Digest, {"of a trial", std::chrono::duration_cast<Milliseconds>(now - Start)}, now);
     }
-    CHECK(quarantine.standing(Digest, now + 23h) == Standing::ShutOut);
+    CHECK(quarantine.standing(Digest, now + 23h) == QuarantineStatus::Quarantined);
     CHECK_FALSE(quarantine.untilTrial(Digest, now));
     quarantine.forget(now + 25h);
-    CHECK(quarantine.standing(Digest, now + 25h) == Standing::Free);
+    CHECK(quarantine.standing(Digest, now + 25h) == QuarantineStatus::Free);
     CHECK(quarantine.size() == 0);
 }
 
@@ -160,7 +160,7 @@
     Quarantine next = withEnds(3);
     REQUIRE(leader.grantTrial(Digest, Start + 2min));
     tellAll(leader, next, Start + 2min);
-    CHECK(next.standing(Digest, Start + 3min) == Standing::ShutOut);
+    CHECK(next.standing(Digest, Start + 3min) == QuarantineStatus::Quarantined);
     CHECK_FALSE(next.grantTrial(Digest, Start + 3min));
 }
 
@@ -180,7 +180,7 @@
         quarantine.noteEnd("other-" + std::to_string(n), target(n / 10), Start + std::chrono::milliseconds(n));
     }
     CHECK(quarantine.size() == 1024);
-    CHECK(quarantine.standing(Digest, Start) == Standing::ShutOut);
+    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Quarantined);
     for (unsigned n = 0; n < 100; ++n) {
         quarantine.noteEnd(Digest, target(n), Start + 1s);
     }
