--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -63,9 +63,9 @@
     explicit Quarantine(Duration firstTrialPause = FirstProbeDelay);
 
     /// A target ended under a request. Returns whether that is new.
-    bool noteEnd(const std::string &digest, const Incarnation &target, TimePoint now);
+    bool recordCrash(const std::string &digest, const Incarnation &target, TimePoint now);
     /// A target ran a request to its end and answered: the ends known so far are excused. Returns whether any was not.
-    bool noteAnswer(const std::string &digest);
+    bool recordAnswer(const std::string &digest);
     /// One try of a request is allowed. Returns false if none is due.
     bool grantTrial(const std::string &digest, TimePoint now);
     /// Takes what another host told. `isDirect`: this host speaks for the other one towards control hosts. Returns
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -43,7 +43,7 @@
     }
     m_targets.noteUnreachable(event.target, m_now);
     for (const std::string &digest : unchecked.mapped()) {
-        if (m_quarantine.noteEnd(digest, event.target, m_now)) {
+        if (m_quarantine.recordCrash(digest, event.target, m_now)) {
             tellChange(digest, event.target.id, true);
         }
     }
@@ -61,7 +61,7 @@
 // A target may answer a failure of its own to what it has not run to its end.
 void Balancer::Impl::excuse(const OpenRequest &open)
 {
-    if (m_quarantine.noteAnswer(open.request.digest)) {
+    if (m_quarantine.recordAnswer(open.request.digest)) {
         tellChange(open.request.digest, {}, true);
     }
 }
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -142,7 +142,7 @@
                                       [&](const auto &lhs, const auto &rhs) { return weight(lhs) < weight(rhs); }));
 }
 
-bool Quarantine::noteEnd(const std::string &digest, const Incarnation &target, TimePoint now)
+bool Quarantine::recordCrash(const std::string &digest, const Incarnation &target, TimePoint now)
 {
     Suspect &suspect = suspectOf(digest);
     const bool isNew = addEnd(suspect, target, {now, false});
@@ -152,7 +152,7 @@
     return isNew;
 }
 
-bool Quarantine::noteAnswer(const std::string &digest)
+bool Quarantine::recordAnswer(const std::string &digest)
 {
     const auto it = m_suspects.find(digest);
     if (it == m_suspects.end() || counted(it->second) == 0) {
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -25,7 +25,7 @@
 {
     Quarantine quarantine;
     for (unsigned n = 0; n < count; ++n) {
-        quarantine.noteEnd(Digest, target(n), at);
+        quarantine.recordCrash(Digest, target(n), at);
     }
     return quarantine;
 }
@@ -44,12 +44,12 @@
 {
     Quarantine quarantine;
     CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Free);
-    CHECK(quarantine.noteEnd(Digest, target(1), Start));
+    CHECK(quarantine.recordCrash(Digest, target(1), Start));
     CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Free);
-    CHECK_FALSE(quarantine.noteEnd(Digest, target(1), Start + 1s)); // another try of it was at the same end
-    CHECK(quarantine.noteEnd(Digest, target(2), Start));
+    CHECK_FALSE(quarantine.recordCrash(Digest, target(1), Start + 1s)); // another try of it was at the same end
+    CHECK(quarantine.recordCrash(Digest, target(2), Start));
     CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Suspected);
-    CHECK(quarantine.noteEnd(Digest, {"i-2", 5ms}, Start)); // the next life under the same id
+    CHECK(quarantine.recordCrash(Digest, {"i-2", 5ms}, Start)); // the next life under the same id
     CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Quarantined);
     CHECK(quarantine.standing("another", Start) == QuarantineStatus::Free);
     CHECK(quarantine.shutOut() == 1);
@@ -62,7 +62,7 @@
         std::vector<Quarantine> known(hosts);
         std::set<unsigned> ended;
         for (const unsigned n : *rc::gen::container<std::vector<unsigned>>(rc::gen::inRange(0U, 5U))) {
-            known[*rc::gen::inRange<std::size_t>(0, hosts)].noteEnd(Digest, target(n), Start);
+            known[*rc::gen::inRange<std::size_t>(0, hosts)].recordCrash(Digest, target(n), Start);
             ended.insert(n);
             tellAll(known[*rc::gen::inRange<std::size_t>(0, hosts)], known[*rc::gen::inRange<std::size_t>(0, hosts)]);
         }
@@ -97,15 +97,15 @@
 {
     Quarantine here = withEnds(3);
     Quarantine there = withEnds(3);
-    CHECK(here.noteAnswer(Digest));
-    CHECK_FALSE(here.noteAnswer(Digest));
+    CHECK(here.recordAnswer(Digest));
+    CHECK_FALSE(here.recordAnswer(Digest));
     CHECK(here.standing(Digest, Start) == QuarantineStatus::Free);
     tellAll(here, there);
     CHECK(there.standing(Digest, Start) == QuarantineStatus::Free);
     tellAll(withEnds(3), there); // by a host that has not heard of the answer
     CHECK(there.standing(Digest, Start) == QuarantineStatus::Free);
     for (unsigned n = 10; n < 13; ++n) {
-        there.noteEnd(Digest, target(n), Start);
+        there.recordCrash(Digest, target(n), Start);
     }
     CHECK(there.standing(Digest, Start) == QuarantineStatus::Quarantined);
 }
@@ -117,12 +117,12 @@
     Quarantine quarantine = withEnds(1);
     CHECK(quarantine.changedSince(0, Reader::EntryHost, Start).empty());
     CHECK(quarantine.changedSince(0, Reader::ControlHost, Start).size() == 1);
-    quarantine.noteEnd(Digest, target(7), Start);
+    quarantine.recordCrash(Digest, target(7), Start);
     const std::uint64_t version = quarantine.version();
     CHECK(quarantine.hasChangedSince(0, Reader::EntryHost));
     REQUIRE(quarantine.changedSince(0, Reader::EntryHost, Start).size() == 1);
     CHECK_FALSE(quarantine.hasChangedSince(version, Reader::EntryHost));
-    quarantine.noteAnswer(Digest);
+    quarantine.recordAnswer(Digest);
     CHECK(quarantine.changedSince(version, Reader::EntryHost, Start).size() == 1);
     // What a control host was told by another one it tells entry hosts, and no third one.
     Quarantine second;
@@ -145,7 +145,7 @@
         CHECK(quarantine.grantTrial(Digest, now));
         CHECK_FALSE(quarantine.grantTrial(Digest, now));
         now += 1s;
-        quarantine.noteEnd(Digest, {"of a trial", std::chrono::duration_cast<Milliseconds>(now - Start)}, now);
+        quarantine.recordCrash(Digest, {"of a trial", std::chrono::duration_cast<Milliseconds>(now - Start)}, now);
     }
     CHECK(quarantine.standing(Digest, now + 23h) == QuarantineStatus::Quarantined);
     CHECK_FALSE(quarantine.untilTrial(Digest, now));
@@ -167,7 +167,7 @@
 TEST_CASE("a request under which one target ended is forgotten after a while, one that is shut out is not")
 {
     Quarantine quarantine = withEnds(3);
-    quarantine.noteEnd("another", target(1), Start);
+    quarantine.recordCrash("another", target(1), Start);
     quarantine.forget(Start + 11min);
     CHECK(quarantine.size() == 1);
     CHECK(quarantine.endsUnder(Digest) == 3);
@@ -177,12 +177,12 @@
 {
     Quarantine quarantine = withEnds(3);
     for (unsigned n = 0; n < 5000; ++n) {
-        quarantine.noteEnd("other-" + std::to_string(n), target(n / 10), Start + std::chrono::milliseconds(n));
+        quarantine.recordCrash("other-" + std::to_string(n), target(n / 10), Start + std::chrono::milliseconds(n));
     }
     CHECK(quarantine.size() == 1024);
     CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Quarantined);
     for (unsigned n = 0; n < 100; ++n) {
-        quarantine.noteEnd(Digest, target(n), Start + 1s);
+        quarantine.recordCrash(Digest, target(n), Start + 1s);
     }
     const auto reports = quarantine.changedSince(0, NewsReader::ControlHost, Start + 1s);
     for (const SuspectReport &it : reports) {
