--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -67,7 +67,7 @@
     /// A target ran a request to its end and answered: the ends known so far are excused. Returns whether any was not.
     bool recordAnswer(const std::string &digest);
     /// One try of a request is allowed. Returns false if none is due.
-    bool grantTrial(const std::string &digest, TimePoint now);
+    bool grantProbe(const std::string &digest, TimePoint now);
     /// Takes what another host told. `isDirect`: this host speaks for the other one towards control hosts. Returns
     /// whether something was new.
     bool merge(const SuspectReport &report, bool isDirect, TimePoint now);
@@ -76,7 +76,7 @@
 
     QuarantineStatus standing(const std::string &digest, TimePoint now) const;
     /// Until a try may be allowed; nothing if none will be until the request is forgotten, or it is not shut out.
-    std::optional<Duration> untilTrial(const std::string &digest, TimePoint now) const;
+    std::optional<Duration> timeUntilProbe(const std::string &digest, TimePoint now) const;
     /// Ends that speak against a request.
     std::size_t endsUnder(const std::string &digest) const;
     /// What changed since a version, for a reader; with version 0 all that matters to it. To an entry host a request
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -122,7 +122,7 @@
     open.awaitsTrial = false;
     Placement placement{nullptr, 0, Refusal::ShutOut};
     if (event.isGranted && followRoutes(open)) {
-        m_quarantine.grantTrial(open.request.digest, m_now);
+        m_quarantine.grantProbe(open.request.digest, m_now);
         open.isTrial = true;
         open.affinity = 0; // the emptiest target: if it ends, the fewest others are lost with it
         placement = place(open);
@@ -140,7 +140,7 @@
 
 Milliseconds Balancer::Impl::timeToTrial(const OpenRequest &open) const
 {
-    const std::optional<Duration> left = m_quarantine.untilTrial(open.request.digest, m_now);
+    const std::optional<Duration> left = m_quarantine.timeUntilProbe(open.request.digest, m_now);
     const Duration advised = left.value_or(LongestShutOutAdvice);
     return std::chrono::duration_cast<Milliseconds>(
         std::clamp<Duration>(advised, ShortestShutOutAdvice, LongestShutOutAdvice));
--- a/lib/Fleet/RegistrySuspects.cpp
+++ b/lib/Fleet/RegistrySuspects.cpp
@@ -39,7 +39,7 @@
         FleetTrialReply reply;
         {
             const std::lock_guard lock(m_mutex);
-            reply.isGranted = status.canRead(now) && m_quarantine.grantTrial(ask.digest, now);
+            reply.isGranted = status.canRead(now) && m_quarantine.grantProbe(ask.digest, now);
             replyWatchers(now);
         }
         m_events.state("trial", {{"digest", ask.digest}, {"granted", reply.isGranted}});
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -165,7 +165,7 @@
     return true;
 }
 
-bool Quarantine::grantTrial(const std::string &digest, TimePoint now)
+bool Quarantine::grantProbe(const std::string &digest, TimePoint now)
 {
     if (standing(digest, now) != QuarantineStatus::ProbeDue) {
         return false;
@@ -242,7 +242,7 @@
     return due && now >= *due ? QuarantineStatus::ProbeDue : QuarantineStatus::Quarantined;
 }
 
-std::optional<Duration> Quarantine::untilTrial(const std::string &digest, TimePoint now) const
+std::optional<Duration> Quarantine::timeUntilProbe(const std::string &digest, TimePoint now) const
 {
     const auto it = m_suspects.find(digest);
     if (it == m_suspects.end() || counted(it->second) < EndsToShutOut) {
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -136,19 +136,19 @@
 {
     Quarantine quarantine = withEnds(3);
     TimePoint now = Start;
-    CHECK_FALSE(quarantine.grantTrial(Digest, now + 59s));
+    CHECK_FALSE(quarantine.grantProbe(Digest, now + 59s));
     for (const auto pause : {1min, 10min, 100min}) {
         CHECK(quarantine.standing(Digest, now + pause - 1s) == QuarantineStatus::Quarantined);
-        CHECK(quarantine.untilTrial(Digest, now + pause - 1s) == Duration(1s));
+        CHECK(quarantine.timeUntilProbe(Digest, now + pause - 1s) == Duration(1s));
         now += pause;
         REQUIRE(quarantine.standing(Digest, now) == QuarantineStatus::ProbeDue);
-        CHECK(quarantine.grantTrial(Digest, now));
-        CHECK_FALSE(quarantine.grantTrial(Digest, now));
+        CHECK(quarantine.grantProbe(Digest, now));
+        CHECK_FALSE(quarantine.grantProbe(Digest, now));
         now += 1s;
         quarantine.recordCrash(Digest, {"of a trial", std::chrono::duration_cast<Milliseconds>(now - Start)}, now);
     }
     CHECK(quarantine.standing(Digest, now + 23h) == QuarantineStatus::Quarantined);
-    CHECK_FALSE(quarantine.untilTrial(Digest, now));
+    CHECK_FALSE(quarantine.timeUntilProbe(Digest, now));
     quarantine.forget(now + 25h);
     CHECK(quarantine.standing(Digest, now + 25h) == QuarantineStatus::Free);
     CHECK(quarantine.size() == 0);
@@ -158,10 +158,10 @@
 {
     Quarantine leader = withEnds(3);
     Quarantine next = withEnds(3);
-    REQUIRE(leader.grantTrial(Digest, Start + 2min));
+    REQUIRE(leader.grantProbe(Digest, Start + 2min));
     tellAll(leader, next, Start + 2min);
     CHECK(next.standing(Digest, Start + 3min) == QuarantineStatus::Quarantined);
-    CHECK_FALSE(next.grantTrial(Digest, Start + 3min));
+    CHECK_FALSE(next.grantProbe(Digest, Start + 3min));
 }
 
 TEST_CASE("a request under which one target ended is forgotten after a while, one that is shut out is not")
