--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -74,11 +74,11 @@
     /// Drops what is too old to matter; to be called regularly, and looks now and then. Returns whether it did.
     bool forget(TimePoint now);
 
-    QuarantineStatus standing(const std::string &digest, TimePoint now) const;
+    QuarantineStatus statusOf(const std::string &digest, TimePoint now) const;
     /// Until a try may be allowed; nothing if none will be until the request is forgotten, or it is not shut out.
     std::optional<Duration> timeUntilProbe(const std::string &digest, TimePoint now) const;
     /// Ends that speak against a request.
-    std::size_t endsUnder(const std::string &digest) const;
+    std::size_t crashCount(const std::string &digest) const;
     /// What changed since a version, for a reader; with version 0 all that matters to it. To an entry host a request
     /// matters once at least two targets ended under it.
     std::vector<SuspectReport> changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const;
@@ -86,7 +86,7 @@
     std::uint64_t version() const;
     std::size_t size() const;
     /// Requests that are shut out.
-    std::size_t shutOut() const;
+    std::size_t quarantinedCount() const;
 
 private:
     struct End {
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -69,12 +69,12 @@
 void Balancer::Impl::tellChange(const std::string &digest, const std::string &target, bool isOwn)
 {
     m_out->emplace_back(
-        SuspectChanged{digest, target, m_quarantine.endsUnder(digest), m_quarantine.standing(digest, m_now), isOwn});
+        SuspectChanged{digest, target, m_quarantine.crashCount(digest), m_quarantine.statusOf(digest, m_now), isOwn});
 }
 
 bool Balancer::Impl::isShutOut(const OpenRequest &open) const
 {
-    const QuarantineStatus standing = m_quarantine.standing(open.request.digest, m_now);
+    const QuarantineStatus standing = m_quarantine.statusOf(open.request.digest, m_now);
     return !open.isTrial && (standing == QuarantineStatus::Quarantined || standing == QuarantineStatus::ProbeDue);
 }
 
@@ -85,7 +85,7 @@
     if (open.isTrial) {
         return outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::Withdrawn;
     }
-    const QuarantineStatus standing = m_quarantine.standing(open.request.digest, m_now);
+    const QuarantineStatus standing = m_quarantine.statusOf(open.request.digest, m_now);
     return standing == QuarantineStatus::Free
         || (standing == QuarantineStatus::Suspected && isCertainlyNotRun(outcome));
 }
@@ -101,7 +101,7 @@
     const auto isAskedFor = [&](const auto &it) {
         return it.second.awaitsTrial && it.second.request.digest == digest;
     };
-    const bool isTrialDue = m_quarantine.standing(digest, m_now) == QuarantineStatus::ProbeDue;
+    const bool isTrialDue = m_quarantine.statusOf(digest, m_now) == QuarantineStatus::ProbeDue;
     if (!isTrialDue || std::any_of(m_open.begin(), m_open.end(), isAskedFor)) {
         refuse(open, Refusal::ShutOut);
         return true;
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -25,7 +25,7 @@
     const Quarantine &quarantine = m_balancer->quarantine();
     offerNews(call.suspects, quarantine, m_toldSuspects, epoch, m_clock.now());
     m_metrics.gauge("pepperlug_suspects", static_cast<double>(quarantine.size()));
-    m_metrics.gauge("pepperlug_requests_shut_out", static_cast<double>(quarantine.shutOut()));
+    m_metrics.gauge("pepperlug_requests_shut_out", static_cast<double>(quarantine.quarantinedCount()));
 }
 
 void GatewayDaemon::Impl::carryOut(const CheckTarget &effect)
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -201,7 +201,7 @@
     m_backpressure.forget(now);
     if (m_quarantine.forget(now)) {
         m_metrics.gauge("pepperlug_suspects", static_cast<double>(m_quarantine.size()));
-        m_metrics.gauge("pepperlug_requests_shut_out", static_cast<double>(m_quarantine.shutOut()));
+        m_metrics.gauge("pepperlug_requests_shut_out", static_cast<double>(m_quarantine.quarantinedCount()));
     }
 }
 
--- a/lib/Fleet/RegistrySuspects.cpp
+++ b/lib/Fleet/RegistrySuspects.cpp
@@ -26,7 +26,7 @@
             continue;
         }
         m_events.state("suspect",
-                       {{"digest", it.digest}, {"ends", m_quarantine.endsUnder(it.digest)}, {"from_entry", isDirect}});
+                       {{"digest", it.digest}, {"ends", m_quarantine.crashCount(it.digest)}, {"from_entry", isDirect}});
     }
 }
 
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -167,7 +167,7 @@
 
 bool Quarantine::grantProbe(const std::string &digest, TimePoint now)
 {
-    if (standing(digest, now) != QuarantineStatus::ProbeDue) {
+    if (statusOf(digest, now) != QuarantineStatus::ProbeDue) {
         return false;
     }
     Suspect &suspect = m_suspects.at(digest);
@@ -228,7 +228,7 @@
     return true;
 }
 
-QuarantineStatus Quarantine::standing(const std::string &digest, TimePoint now) const
+QuarantineStatus Quarantine::statusOf(const std::string &digest, TimePoint now) const
 {
     const auto it = m_suspects.find(digest);
     const std::size_t ends = it == m_suspects.end() ? 0 : counted(it->second);
@@ -252,7 +252,7 @@
     return due ? std::optional(std::max(Duration(0), *due - now)) : std::nullopt;
 }
 
-std::size_t Quarantine::endsUnder(const std::string &digest) const
+std::size_t Quarantine::crashCount(const std::string &digest) const
 {
     const auto it = m_suspects.find(digest);
     return it == m_suspects.end() ? 0 : counted(it->second);
@@ -290,7 +290,7 @@
     return m_suspects.size();
 }
 
-std::size_t Quarantine::shutOut() const
+std::size_t Quarantine::quarantinedCount() const
 {
     return static_cast<std::size_t>(std::count_if(m_suspects.begin(), m_suspects.end(),
                                                   [](const auto &it) { return counted(it.second) >= EndsToShutOut; }));
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -122,8 +122,8 @@
     host.lose(second, 1);
     CHECK(host.find<CheckTarget>() == nullptr);
     host.reduce(TargetChecked{check.target, true});
-    CHECK(host.balancer.quarantine().endsUnder("d1") == 1);
-    CHECK(host.balancer.quarantine().endsUnder("d2") == 1);
+    CHECK(host.balancer.quarantine().crashCount("d1") == 1);
+    CHECK(host.balancer.quarantine().crashCount("d2") == 1);
     for (int n = 0; n < 20; ++n) {
         host.ask("/once/x", "d3");
         CHECK(host.find<StartAttempt>()->target != target);
@@ -235,7 +235,7 @@
         CHECK(host.find<StartAttempt>() == nullptr);
         CHECK(host.refusal() == Refusal::Lost);
         host.check(true);
-        CHECK(host.balancer.quarantine().endsUnder("d") == 4);
+        CHECK(host.balancer.quarantine().crashCount("d") == 4);
     }
     SECTION("granted and answered: free")
     {
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -43,16 +43,16 @@
 TEST_CASE("a request is suspected at the second end under it and shut out at the third")
 {
     Quarantine quarantine;
-    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Free);
+    CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Free);
     CHECK(quarantine.recordCrash(Digest, target(1), Start));
-    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Free);
+    CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Free);
     CHECK_FALSE(quarantine.recordCrash(Digest, target(1), Start + 1s)); // another try of it was at the same end
     CHECK(quarantine.recordCrash(Digest, target(2), Start));
-    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Suspected);
+    CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Suspected);
     CHECK(quarantine.recordCrash(Digest, {"i-2", 5ms}, Start)); // the next life under the same id
-    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Quarantined);
-    CHECK(quarantine.standing("another", Start) == QuarantineStatus::Free);
-    CHECK(quarantine.shutOut() == 1);
+    CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Quarantined);
+    CHECK(quarantine.statusOf("another", Start) == QuarantineStatus::Free);
+    CHECK(quarantine.quarantinedCount() == 1);
 }
 
 TEST_CASE("ends that several hosts saw add up, each once, in whatever order they are told")
@@ -74,7 +74,7 @@
             }
         }
         for (const Quarantine &it : known) {
-            RC_ASSERT(it.endsUnder(Digest) == ended.size());
+            RC_ASSERT(it.crashCount(Digest) == ended.size());
         }
     });
 }
@@ -99,15 +99,15 @@
     Quarantine there = withEnds(3);
     CHECK(here.recordAnswer(Digest));
     CHECK_FALSE(here.recordAnswer(Digest));
-    CHECK(here.standing(Digest, Start) == QuarantineStatus::Free);
+    CHECK(here.statusOf(Digest, Start) == QuarantineStatus::Free);
     tellAll(here, there);
-    CHECK(there.standing(Digest, Start) == QuarantineStatus::Free);
+    CHECK(there.statusOf(Digest, Start) == QuarantineStatus::Free);
     tellAll(withEnds(3), there); // by a host that has not heard of the answer
-    CHECK(there.standing(Digest, Start) == QuarantineStatus::Free);
+    CHECK(there.statusOf(Digest, Start) == QuarantineStatus::Free);
     for (unsigned n = 10; n < 13; ++n) {
         there.recordCrash(Digest, target(n), Start);
     }
-    CHECK(there.standing(Digest, Start) == QuarantineStatus::Quarantined);
+    CHECK(there.statusOf(Digest, Start) == QuarantineStatus::Quarantined);
 }
 
 TEST_CASE(
@@ -138,19 +138,19 @@
     TimePoint now = Start;
     CHECK_FALSE(quarantine.grantProbe(Digest, now + 59s));
     for (const auto pause : {1min, 10min, 100min}) {
-        CHECK(quarantine.standing(Digest, now + pause - 1s) == QuarantineStatus::Quarantined);
+        CHECK(quarantine.statusOf(Digest, now + pause - 1s) == QuarantineStatus::Quarantined);
         CHECK(quarantine.timeUntilProbe(Digest, now + pause - 1s) == Duration(1s));
         now += pause;
-        REQUIRE(quarantine.standing(Digest, now) == QuarantineStatus::ProbeDue);
+        REQUIRE(quarantine.statusOf(Digest, now) == QuarantineStatus::ProbeDue);
         CHECK(quarantine.grantProbe(Digest, now));
         CHECK_FALSE(quarantine.grantProbe(Digest, now));
         now += 1s;
         quarantine.recordCrash(Digest, {"of a trial", std::chrono::duration_cast<Milliseconds>(now - Start)}, now);
     }
-    CHECK(quarantine.standing(Digest, now + 23h) == QuarantineStatus::Quarantined);
+    CHECK(quarantine.statusOf(Digest, now + 23h) == QuarantineStatus::Quarantined);
     CHECK_FALSE(quarantine.timeUntilProbe(Digest, now));
     quarantine.forget(now + 25h);
-    CHECK(quarantine.standing(Digest, now + 25h) == QuarantineStatus::Free);
+    CHECK(quarantine.statusOf(Digest, now + 25h) == QuarantineStatus::Free);
     CHECK(quarantine.size() == 0);
 }
 
@@ -160,7 +160,7 @@
     Quarantine next = withEnds(3);
     REQUIRE(leader.grantProbe(Digest, Start + 2min));
     tellAll(leader, next, Start + 2min);
-    CHECK(next.standing(Digest, Start + 3min) == QuarantineStatus::Quarantined);
+    CHECK(next.statusOf(Digest, Start + 3min) == QuarantineStatus::Quarantined);
     CHECK_FALSE(next.grantProbe(Digest, Start + 3min));
 }
 
@@ -170,7 +170,7 @@
     quarantine.recordCrash("another", target(1), Start);
     quarantine.forget(Start + 11min);
     CHECK(quarantine.size() == 1);
-    CHECK(quarantine.endsUnder(Digest) == 3);
+    CHECK(quarantine.crashCount(Digest) == 3);
 }
 
 TEST_CASE("what is kept is bounded, and what is shut out stays longest")
@@ -180,7 +180,7 @@
         quarantine.recordCrash("other-" + std::to_string(n), target(n / 10), Start + std::chrono::milliseconds(n));
     }
     CHECK(quarantine.size() == 1024);
-    CHECK(quarantine.standing(Digest, Start) == QuarantineStatus::Quarantined);
+    CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Quarantined);
     for (unsigned n = 0; n < 100; ++n) {
         quarantine.recordCrash(Digest, target(n), Start + 1s);
     }
