--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -41,7 +41,7 @@
     /// whether the limit is another one now, or the target leaves.
     bool merge(const BackpressureReport &report, bool isDirect, TimePoint now);
     /// Drops what nothing has said for long; to be called regularly. Returns the targets whose limits are forgotten.
-    std::vector<Incarnation> forget(TimePoint now);
+    std::vector<Incarnation> removeExpired(TimePoint now);
 
     /// Requests a second; nothing while none is named.
     std::optional<double> limitOf(const Incarnation &target) const;
--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -72,7 +72,7 @@
     /// whether something was new.
     bool merge(const SuspectReport &report, bool isDirect, TimePoint now);
     /// Drops what is too old to matter; to be called regularly, and looks now and then. Returns whether it did.
-    bool forget(TimePoint now);
+    bool removeExpired(TimePoint now);
 
     QuarantineStatus statusOf(const std::string &digest, TimePoint now) const;
     /// Until a try may be allowed; nothing if none will be until the request is forgotten, or it is not shut out.
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -145,7 +145,7 @@
     return before != entry.limit;
 }
 
-std::vector<Incarnation> BackpressureTable::forget(TimePoint now)
+std::vector<Incarnation> BackpressureTable::removeExpired(TimePoint now)
 {
     std::vector<Incarnation> forgotten;
     for (auto &[target, entry] : m_entries) {
--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -60,7 +60,7 @@
 
 void Balancer::Impl::forgetLimits()
 {
-    for (const Incarnation &it : m_backpressure.forget(m_now)) {
+    for (const Incarnation &it : m_backpressure.removeExpired(m_now)) {
         tellBackpressure(it, false);
     }
 }
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -434,7 +434,7 @@
     endOverdue();
     hedgeSilent();
     followPlans();
-    m_quarantine.forget(m_now);
+    m_quarantine.removeExpired(m_now);
     forgetLimits();
 }
 
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -198,8 +198,8 @@
     }
     m_wasCurrent = isCurrent;
     m_registry.expire(now, isCurrent && now - m_currentSince > TimeToJudge);
-    m_backpressure.forget(now);
-    if (m_quarantine.forget(now)) {
+    m_backpressure.removeExpired(now);
+    if (m_quarantine.removeExpired(now)) {
         m_metrics.gauge("pepperlug_suspects", static_cast<double>(m_quarantine.size()));
         m_metrics.gauge("pepperlug_requests_shut_out", static_cast<double>(m_quarantine.quarantinedCount()));
     }
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -206,7 +206,7 @@
     return now - end.noticedAt > SuspectTime;
 }
 
-bool Quarantine::forget(TimePoint now)
+bool Quarantine::removeExpired(TimePoint now)
 {
     if (now < m_nextForget) {
         return false;
--- a/unittests/Backpressure/BackpressureTableTest.cpp
+++ b/unittests/Backpressure/BackpressureTableTest.cpp
@@ -135,8 +135,8 @@
     CHECK(table.version() == told);
     CHECK_FALSE(hear(table, limitOf(2.1), Start + 6s));
     CHECK(table.hasChangedSince(told, NewsReader::ControlHost));
-    CHECK(table.forget(Start + 30s).empty());
-    CHECK(table.forget(Start + 40s) == std::vector<Incarnation>{Target});
+    CHECK(table.removeExpired(Start + 30s).empty());
+    CHECK(table.removeExpired(Start + 40s) == std::vector<Incarnation>{Target});
     CHECK_FALSE(table.limitOf(Target));
 }
 
@@ -157,10 +157,10 @@
     }
     CHECK(other.isLeaving(Target));
     // The limit goes, the departure stays until the target has surely ended.
-    CHECK(table.forget(Start + 1min) == std::vector<Incarnation>{Target});
-    CHECK(table.forget(Start + 1min).empty());
+    CHECK(table.removeExpired(Start + 1min) == std::vector<Incarnation>{Target});
+    CHECK(table.removeExpired(Start + 1min).empty());
     CHECK(table.isLeaving(Target));
     CHECK_FALSE(table.limitOf(Target));
-    table.forget(Start + 11min);
+    table.removeExpired(Start + 11min);
     CHECK_FALSE(table.isLeaving(Target));
 }
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -149,7 +149,7 @@
     }
     CHECK(quarantine.statusOf(Digest, now + 23h) == QuarantineStatus::Quarantined);
     CHECK_FALSE(quarantine.timeUntilProbe(Digest, now));
-    quarantine.forget(now + 25h);
+    quarantine.removeExpired(now + 25h);
     CHECK(quarantine.statusOf(Digest, now + 25h) == QuarantineStatus::Free);
     CHECK(quarantine.size() == 0);
 }
@@ -168,7 +168,7 @@
 {
     Quarantine quarantine = withEnds(3);
     quarantine.recordCrash("another", target(1), Start);
-    quarantine.forget(Start + 11min);
+    quarantine.removeExpired(Start + 11min);
     CHECK(quarantine.size() == 1);
     CHECK(quarantine.crashCount(Digest) == 3);
 }
