--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -15,9 +15,9 @@
         m_metrics.count("pepperlug_target_signals{kind=\"leaving\"}");
         fields["leaving"] = true;
     }
-    if (signal.rest) {
+    if (signal.backOff) {
         m_metrics.count("pepperlug_target_signals{kind=\"rest\"}");
-        fields["rest_s"] = signal.rest->count();
+        fields["rest_s"] = signal.backOff->count();
     }
     if (!signal.unreadable.empty()) {
         m_metrics.count("pepperlug_target_signals{kind=\"unreadable\"}");
--- a/unittests/Balance/BackpressureTest.cpp
+++ b/unittests/Balance/BackpressureTest.cpp
@@ -37,7 +37,7 @@
     void turnAway(RequestId id, const std::string &target, std::chrono::duration<double> rest)
     {
         TargetSignalled event{{target, 0ms}, {}, now};
-        event.signal.rest = rest;
+        event.signal.backOff = rest;
         reduce(event);
         end(id, 1, AttemptOutcome::Shed);
     }
@@ -245,7 +245,7 @@
         host.report(Host::targetOf("t1"));
         const RequestId id = host.request("/once/");
         TargetSignalled event{{"t1", 0ms}, {}, host.now};
-        event.signal.rest = 3s;
+        event.signal.backOff = 3s;
         host.reduce(event);
         host.end(id, 1, AttemptOutcome::Shed);
         const TimePoint told = host.now;
@@ -280,7 +280,7 @@
     REQUIRE(host.find<StartAttempt>() != nullptr);
     host.turnAway(second, "t1", 10s);
     TargetSignalled shorter{{"t1", 0ms}, {}, host.now};
-    shorter.signal.rest = 1s;
+    shorter.signal.backOff = 1s;
     host.reduce(shorter);
     host.now += 9s;
     CHECK(host.send().empty());
@@ -299,7 +299,7 @@
     CHECK(host.send() == "t1");
     // What the earlier one said late is not the next one's.
     TargetSignalled late{{"t1", 0ms}, {}, host.now};
-    late.signal.rest = 1min;
+    late.signal.backOff = 1min;
     host.reduce(late);
     CHECK(host.send() == "t1");
 }
--- a/unittests/Platform/DialectTest.cpp
+++ b/unittests/Platform/DialectTest.cpp
@@ -407,13 +407,13 @@
     const auto read = [](unsigned status, const std::string &value) {
         return Clients::readAnswer({status, {{"X-Not-Executed", "full"}, {"Retry-After", value}}, {}}).backpressure;
     };
-    CHECK(read(503, "3").rest == 3s);
-    CHECK(read(503, "0.25").rest == 250ms);
-    CHECK_FALSE(read(429, "3").rest);
-    CHECK_FALSE(read(200, "3").rest);
+    CHECK(read(503, "3").backOff == 3s);
+    CHECK(read(503, "0.25").backOff == 250ms);
+    CHECK_FALSE(read(429, "3").backOff);
+    CHECK_FALSE(read(200, "3").backOff);
     for (const std::string value : {"", "-3", "nan", "1e999", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
         CAPTURE(value);
-        CHECK_FALSE(read(503, value).rest);
+        CHECK_FALSE(read(503, value).backOff);
         CHECK(read(503, value).unreadable.find("Retry-After: ") == 0);
     }
 }
