--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -18,7 +18,7 @@
     std::optional<double> perSecond; ///< requests that it takes from all hosts together; nothing: it names no limit
     std::optional<std::chrono::duration<double>> backOff; ///< in which it wants nothing from the host that it answered
     bool isLeaving = false; ///< it is about to end and wants nothing new
-    std::string unreadable; ///< header and value that can't be read, shortened; empty: none
+    std::string malformedHeader; ///< header and value that can't be read, shortened; empty: none
 };
 
 /// What one host tells another of a target.
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -90,7 +90,7 @@
 {
     const auto known = m_entries.find(target);
     if (!signal.perSecond) {
-        const bool tellsOfLift = known != m_entries.end() && known->second.limit && signal.unreadable.empty()
+        const bool tellsOfLift = known != m_entries.end() && known->second.limit && signal.malformedHeader.empty()
             && sentAt - known->second.asOf >= LiftDelay;
         return tellsOfLift && noteUnnamed(known->second, now);
     }
--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -19,9 +19,9 @@
         m_metrics.count("pepperlug_target_signals{kind=\"rest\"}");
         fields["rest_s"] = signal.backOff->count();
     }
-    if (!signal.unreadable.empty()) {
+    if (!signal.malformedHeader.empty()) {
         m_metrics.count("pepperlug_target_signals{kind=\"unreadable\"}");
-        fields["unreadable"] = signal.unreadable;
+        fields["unreadable"] = signal.malformedHeader;
     }
     return fields;
 }
--- a/unittests/Backpressure/BackpressureTableTest.cpp
+++ b/unittests/Backpressure/BackpressureTableTest.cpp
@@ -68,7 +68,7 @@
     BackpressureTable table;
     hear(table, limitOf(2), Start);
     BackpressureSignal unreadable;
-    unreadable.unreadable = "limit: x";
+    unreadable.malformedHeader = "limit: x";
     for (int n = 0; n < 5; ++n) {
         CHECK_FALSE(hear(table, unreadable, Start + 2s + n * 1s));
     }
--- a/unittests/Platform/DialectTest.cpp
+++ b/unittests/Platform/DialectTest.cpp
@@ -386,7 +386,7 @@
         return Clients::readAnswer({200, headers, {}}).backpressure;
     };
     CHECK_FALSE(read({}).perSecond);
-    CHECK(read({}).unreadable.empty());
+    CHECK(read({}).malformedHeader.empty());
     CHECK(read({{"server-limit", "2.25"}}).perSecond == 2.25);
     CHECK(read({{"Server-Limit", "0"}}).perSecond == 0);
     CHECK(read({{"Server-Limit", "3"}, {"Server-Limit", "3.0"}}).perSecond == 3);
@@ -396,8 +396,8 @@
         const BackpressureSignal signal = read({{"Server-Limit", value}});
         CAPTURE(value);
         CHECK_FALSE(signal.perSecond);
-        CHECK(signal.unreadable.find("Server-Limit: " + value.substr(0, 5)) == 0);
-        CHECK(signal.unreadable.size() < 80);
+        CHECK(signal.malformedHeader.find("Server-Limit: " + value.substr(0, 5)) == 0);
+        CHECK(signal.malformedHeader.size() < 80);
     }
     CHECK_FALSE(read({{"Server-Limit", "2"}, {"Server-Limit", "3"}}).perSecond);
 }
@@ -414,7 +414,7 @@
     for (const std::string value : {"", "-3", "nan", "1e999", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
         CAPTURE(value);
         CHECK_FALSE(read(503, value).backOff);
-        CHECK(read(503, value).unreadable.find("Retry-After: ") == 0);
+        CHECK(read(503, value).malformedHeader.find("Retry-After: ") == 0);
     }
 }
 
