--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -15,7 +15,7 @@
 
 /// What one answer of a target asks for.
 struct BackpressureSignal {
-    std::optional<double> perSecond; ///< requests that it takes from all hosts together; nothing: it names no limit
+    std::optional<double> rateLimit; ///< requests that it takes from all hosts together; nothing: it names no limit
     std::optional<std::chrono::duration<double>> backOff; ///< in which it wants nothing from the host that it answered
     bool isLeaving = false; ///< it is about to end and wants nothing new
     std::string malformedHeader; ///< header and value that can't be read, shortened; empty: none
@@ -25,10 +25,10 @@
 struct BackpressureReport {
     Incarnation target;
     bool isLimited = false; ///< false: it has stopped to name a limit
-    double perSecond = 0; ///< the limit
+    double rateLimit = 0; ///< the limit
     Milliseconds age{}; ///< since an answer said so of the limit
     bool isLeaving = false; ///< final for the incarnation
-    MSGPACK_DEFINE(target, isLimited, perSecond, age, isLeaving);
+    MSGPACK_DEFINE(target, isLimited, rateLimit, age, isLeaving);
 };
 
 class BackpressureTable
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -89,12 +89,12 @@
                                   TimePoint now)
 {
     const auto known = m_entries.find(target);
-    if (!signal.perSecond) {
+    if (!signal.rateLimit) {
         const bool tellsOfLift = known != m_entries.end() && known->second.limit && signal.malformedHeader.empty()
             && sentAt - known->second.asOf >= LiftDelay;
         return tellsOfLift && noteUnnamed(known->second, now);
     }
-    double limit = std::max(*signal.perSecond, LeastLimit);
+    double limit = std::max(*signal.rateLimit, LeastLimit);
     Entry &entry = known != m_entries.end() ? known->second : m_entries[target];
     const std::optional<double> before = entry.limit;
     if (before && sentAt < entry.limitSince) {
@@ -131,13 +131,13 @@
     const auto known = m_entries.find(report.target);
     const bool isKnownLimit = known != m_entries.end() && known->second.limit;
     const bool isOld = known != m_entries.end() && asOf <= known->second.asOf;
-    const bool isReadable = std::isfinite(report.perSecond) && (!report.isLimited || report.perSecond > 0);
+    const bool isReadable = std::isfinite(report.rateLimit) && (!report.isLimited || report.rateLimit > 0);
     if (isOld || !isReadable || (!report.isLimited && !isKnownLimit)) {
         return false;
     }
     Entry &entry = m_entries[report.target];
     const std::optional<double> before = entry.limit;
-    setLimit(entry, report.isLimited ? std::optional(report.perSecond) : std::nullopt, asOf, now);
+    setLimit(entry, report.isLimited ? std::optional(report.rateLimit) : std::nullopt, asOf, now);
     const bool isNew = !isAlike(before, entry.limit);
     if (isNew || asOf - entry.toldAt >= RenewInterval / 2) {
         noteChange(entry, isDirect);
--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -7,9 +7,9 @@
 nlohmann::json GatewayDaemon::Impl::countSignal(const BackpressureSignal &signal)
 {
     nlohmann::json fields = nlohmann::json::object();
-    if (signal.perSecond) {
+    if (signal.rateLimit) {
         m_metrics.count("pepperlug_target_signals{kind=\"limit\"}");
-        fields["limit_per_s"] = *signal.perSecond;
+        fields["limit_per_s"] = *signal.rateLimit;
     }
     if (signal.isLeaving) {
         m_metrics.count("pepperlug_target_signals{kind=\"leaving\"}");
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -115,7 +115,7 @@
         m_events.state("target-signal",
                        {{"target", it.target.id},
                         {"leaving", it.isLeaving},
-                        {"limit_per_s", it.isLimited ? nlohmann::json(it.perSecond) : nlohmann::json()},
+                        {"limit_per_s", it.isLimited ? nlohmann::json(it.rateLimit) : nlohmann::json()},
                         {"age_ms", it.age.count()},
                         {"from_entry", isDirect}});
     }
--- a/unittests/Backpressure/BackpressureTableTest.cpp
+++ b/unittests/Backpressure/BackpressureTableTest.cpp
@@ -16,7 +16,7 @@
 BackpressureSignal limitOf(double perSecond)
 {
     BackpressureSignal signal;
-    signal.perSecond = perSecond;
+    signal.rateLimit = perSecond;
     return signal;
 }
 
--- a/unittests/Balance/BackpressureTest.cpp
+++ b/unittests/Balance/BackpressureTest.cpp
@@ -29,7 +29,7 @@
     void nameLimit(const std::string &target, double perSecond)
     {
         TargetSignalled event{{target, 0ms}, {}, now};
-        event.signal.perSecond = perSecond;
+        event.signal.rateLimit = perSecond;
         reduce(event);
     }
 
--- a/unittests/Balance/LimitedTargetsTest.cpp
+++ b/unittests/Balance/LimitedTargetsTest.cpp
@@ -206,7 +206,7 @@
             entry.now = m_now;
             TargetSignalled signalled{{sent.attempt.target, sent.attempt.targetStartedAt}, {}, sent.at};
             if (sent.attempt.target == targetId(0) && namesLimit()) {
-                signalled.signal.perSecond = m_plan.limit;
+                signalled.signal.rateLimit = m_plan.limit;
             }
             entry.reduce(signalled);
             entry.reduce(AttemptEnded{sent.attempt.id, sent.attempt.attempt, AttemptOutcome::Answered, {}, 0});
--- a/unittests/Platform/DialectTest.cpp
+++ b/unittests/Platform/DialectTest.cpp
@@ -385,21 +385,21 @@
     const auto read = [](const std::vector<HeaderField> &headers) {
         return Clients::readAnswer({200, headers, {}}).backpressure;
     };
-    CHECK_FALSE(read({}).perSecond);
+    CHECK_FALSE(read({}).rateLimit);
     CHECK(read({}).malformedHeader.empty());
-    CHECK(read({{"server-limit", "2.25"}}).perSecond == 2.25);
-    CHECK(read({{"Server-Limit", "0"}}).perSecond == 0);
-    CHECK(read({{"Server-Limit", "3"}, {"Server-Limit", "3.0"}}).perSecond == 3);
+    CHECK(read({{"server-limit", "2.25"}}).rateLimit == 2.25);
+    CHECK(read({{"Server-Limit", "0"}}).rateLimit == 0);
+    CHECK(read({{"Server-Limit", "3"}, {"Server-Limit", "3.0"}}).rateLimit == 3);
     const std::string longValue(1000, 'x');
     for (const std::string &value : {std::string(), std::string("-1"), std::string("nan"), std::string("inf"),
                                      std::string("1e999"), std::string("2,5"), std::string("1 "), longValue}) {
         const BackpressureSignal signal = read({{"Server-Limit", value}});
         CAPTURE(value);
-        CHECK_FALSE(signal.perSecond);
+        CHECK_FALSE(signal.rateLimit);
         CHECK(signal.malformedHeader.find("Server-Limit: " + value.substr(0, 5)) == 0);
         CHECK(signal.malformedHeader.size() < 80);
     }
-    CHECK_FALSE(read({{"Server-Limit", "2"}, {"Server-Limit", "3"}}).perSecond);
+    CHECK_FALSE(read({{"Server-Limit", "2"}, {"Server-Limit", "3"}}).rateLimit);
 }
 
 TEST_CASE("a target asks for a rest with 503 and a time in seconds")
