--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -36,7 +36,7 @@
 public:
     /// Takes what a target's answer asks for; `sentAt`: when the request was sent. Returns whether other hosts should
     /// hear of it at once.
-    bool hear(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt, TimePoint now);
+    bool recordSignal(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt, TimePoint now);
     /// Takes what another host told. `isDirect`: this host speaks for the other one towards control hosts. Returns
     /// whether the limit is another one now, or the target leaves.
     bool merge(const BackpressureReport &report, bool isDirect, TimePoint now);
@@ -51,7 +51,7 @@
     bool hasChangedSince(std::uint64_t version, NewsReader reader) const;
     std::uint64_t version() const;
     /// Targets that name a limit.
-    std::size_t limited() const;
+    std::size_t limitedCount() const;
 
 private:
     struct Entry {
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -67,8 +67,8 @@
     m_versions.note(entry.changedAt, isDirect, true);
 }
 
-bool BackpressureTable::hear(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt,
-                             TimePoint now)
+bool BackpressureTable::recordSignal(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt,
+                                     TimePoint now)
 {
     const bool hasLimitNews = hearLimit(target, signal, sentAt, now);
     return (signal.isLeaving && hearLeaving(target, now)) || hasLimitNews;
@@ -198,7 +198,7 @@
     return m_versions.version();
 }
 
-std::size_t BackpressureTable::limited() const
+std::size_t BackpressureTable::limitedCount() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_entries.begin(), m_entries.end(), [](const auto &it) { return it.second.limit.has_value(); }));
--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -19,7 +19,7 @@
         m_out->emplace_back(RestBegun{event.target.id, std::chrono::duration_cast<Milliseconds>(length)});
     }
     const std::optional<double> before = m_backpressure.limitOf(event.target);
-    if (m_backpressure.hear(event.target, event.signal, event.sentAt, m_now)) {
+    if (m_backpressure.recordSignal(event.target, event.signal, event.sentAt, m_now)) {
         tellBackpressure(event.target, true);
     } else if (m_backpressure.limitOf(event.target) != before) {
         m_targets.setLimit(event.target, m_backpressure.limitOf(event.target));
--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -31,7 +31,7 @@
 {
     const BackpressureTable &table = m_balancer->backpressure();
     offerNews(call.backpressure, table, m_toldBackpressure, epoch, m_clock.now());
-    m_metrics.gauge("pepperlug_targets_limited", static_cast<double>(table.limited()));
+    m_metrics.gauge("pepperlug_targets_limited", static_cast<double>(table.limitedCount()));
 }
 
 // Only what certainly comes from the target: another incarnation may have its address.
--- a/unittests/Backpressure/BackpressureTableTest.cpp
+++ b/unittests/Backpressure/BackpressureTableTest.cpp
@@ -23,7 +23,7 @@
 /// An answer that comes 100 ms after its request was sent.
 bool hear(BackpressureTable &table, const BackpressureSignal &signal, TimePoint now)
 {
-    return table.hear(Target, signal, now - 100ms, now);
+    return table.recordSignal(Target, signal, now - 100ms, now);
 }
 
 std::vector<BackpressureReport> allOf(const BackpressureTable &table, TimePoint now)
@@ -38,28 +38,28 @@
     BackpressureTable table;
     CHECK(hear(table, limitOf(2), Start));
     CHECK(table.limitOf(Target) == 2.0);
-    CHECK(table.limited() == 1);
+    CHECK(table.limitedCount() == 1);
     // Answers that may have been made before, and a single one without the limit.
-    CHECK_FALSE(table.hear(Target, {}, Start - 1s, Start + 1500ms));
-    CHECK_FALSE(table.hear(Target, {}, Start + 500ms, Start + 1500ms));
+    CHECK_FALSE(table.recordSignal(Target, {}, Start - 1s, Start + 1500ms));
+    CHECK_FALSE(table.recordSignal(Target, {}, Start + 500ms, Start + 1500ms));
     CHECK_FALSE(hear(table, {}, Start + 1500ms));
     CHECK_FALSE(hear(table, limitOf(2), Start + 1600ms));
     CHECK_FALSE(hear(table, {}, Start + 3s));
     CHECK(table.limitOf(Target) == 2.0);
     CHECK(hear(table, {}, Start + 4s));
     CHECK_FALSE(table.limitOf(Target));
-    CHECK(table.limited() == 0);
+    CHECK(table.limitedCount() == 0);
 }
 
 TEST_CASE("an answer that overtook another one does not raise a limit")
 {
     BackpressureTable table;
     hear(table, limitOf(8), Start);
-    CHECK(table.hear(Target, limitOf(2), Start + 100ms, Start + 200ms));
+    CHECK(table.recordSignal(Target, limitOf(2), Start + 100ms, Start + 200ms));
     // Sent before the lower limit was known, so it may have been made before it.
-    CHECK_FALSE(table.hear(Target, limitOf(8), Start + 100ms, Start + 300ms));
+    CHECK_FALSE(table.recordSignal(Target, limitOf(8), Start + 100ms, Start + 300ms));
     CHECK(table.limitOf(Target) == 2.0);
-    CHECK(table.hear(Target, limitOf(8), Start + 300ms, Start + 400ms));
+    CHECK(table.recordSignal(Target, limitOf(8), Start + 300ms, Start + 400ms));
     CHECK(table.limitOf(Target) == 8.0);
 }
 
@@ -123,7 +123,7 @@
     CHECK_FALSE(table.merge({Target, true, -1, 0ms}, false, Start));
     CHECK_FALSE(table.merge({Target, true, std::numeric_limits<double>::quiet_NaN(), 0ms}, false, Start));
     CHECK_FALSE(table.merge({Target, false, 0, 0ms}, false, Start));
-    CHECK(table.limited() == 0);
+    CHECK(table.limitedCount() == 0);
 }
 
 TEST_CASE("a limit that is still named is renewed at other hosts, one that nobody names is forgotten")
