--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -43,7 +43,7 @@
     std::string zone;
     std::map<std::string, std::string> regionOfZone;
     RetryTerms retries;
-    QuotaTerms quotas;
+    QuotaTolerance quotas;
     double maxShift = 0.15; ///< part of a region's requests that may move to other regions from one window to the next
     Duration shiftWindow = std::chrono::seconds(2);
     std::uint64_t linkBytesPerSecond = 0; ///< of this host's link, both ways together; 0 if it need not be minded
--- a/include/pepperlug/Quota.h
+++ b/include/pepperlug/Quota.h
@@ -21,7 +21,7 @@
 {
 
 /// How far the sum may exceed a limit.
-struct QuotaTerms {
+struct QuotaTolerance {
     Duration window = std::chrono::seconds(5); ///< each span of this length counts
     double excess = 0; ///< part of what the limit allows in a window
     double slack = 0; ///< requests in a window besides
@@ -65,7 +65,7 @@
 class QuotaShares
 {
 public:
-    QuotaShares(const QuotaTerms &terms, std::uint64_t seed);
+    QuotaShares(const QuotaTolerance &terms, std::uint64_t seed);
 
     /// Whether a request of a tenant may be sent. To be asked once for each request that has a target.
     bool admit(const std::string &tenant, const TenantLimit &limit, TimePoint now);
@@ -117,7 +117,7 @@
     void refill(Share &share, TimePoint now) const;
     static bool passPart(Share &share);
 
-    QuotaTerms m_terms;
+    QuotaTolerance m_terms;
     std::mt19937_64 m_random;
     std::unordered_map<std::uint64_t, Share> m_shares; ///< by tenantHash()
     std::unordered_map<std::uint64_t, TenantLoad> m_loads; ///< as told last
--- a/lib/Quota/QuotaShares.cpp
+++ b/lib/Quota/QuotaShares.cpp
@@ -55,7 +55,7 @@
     return hash64(name);
 }
 
-QuotaShares::QuotaShares(const QuotaTerms &terms, std::uint64_t seed)
+QuotaShares::QuotaShares(const QuotaTolerance &terms, std::uint64_t seed)
     : m_terms(terms)
     , m_random(seed)
 {
--- a/unittests/Quota/QuotaNetwork.h
+++ b/unittests/Quota/QuotaNetwork.h
@@ -30,7 +30,7 @@
     unsigned hostsInUse = 66; ///< that the tenant's callers come to
     Duration length = 40s;
     std::uint64_t seed = 1;
-    QuotaTerms terms{5s, 0.1, 20};
+    QuotaTolerance terms{5s, 0.1, 20};
 
     // What happens; a time of 0 for nothing.
     Duration crowdAt{}; ///< from then on, for 3 s
