--- a/include/pepperlug/Quota.h
+++ b/include/pepperlug/Quota.h
@@ -29,7 +29,7 @@
 
 /// How long a host that is not heard is taken to be asked for as much as before; and how long a host that hears nothing
 /// passes its share of then.
-constexpr std::chrono::seconds QuotaHold{12};
+constexpr std::chrono::seconds QuotaHoldTime{12};
 
 /// Name of a tenant in what hosts tell each other.
 std::uint64_t tenantHash(std::string_view name);
--- a/lib/Quota/QuotaShares.cpp
+++ b/lib/Quota/QuotaShares.cpp
@@ -146,7 +146,7 @@
             std::max(part * (1 + m_terms.excess * HeardExcess), 1.0 / static_cast<double>(m_entryHosts));
         return {share.limit.perSecond * wide, share.limit.burst * wide + ChanceDepth};
     }
-    const bool isHeld = now - *m_heardAsOf <= QuotaHold;
+    const bool isHeld = now - *m_heardAsOf <= QuotaHoldTime;
     const double narrow = part * (isHeld ? 1 : m_terms.excess * AloneExcess);
     return {share.limit.perSecond * narrow, std::max(LeastDepth, share.limit.burst * narrow)};
 }
--- a/unittests/Quota/QuotaNetwork.h
+++ b/unittests/Quota/QuotaNetwork.h
@@ -104,7 +104,7 @@
     static constexpr Duration Way = 40ms;
     static constexpr Duration DownTime = 1s;
     /// What a host forgets that it has not heard from.
-    static constexpr Duration Hold = QuotaHold;
+    static constexpr Duration Hold = QuotaHoldTime;
 
     struct Entry {
         std::optional<Policy> policy; ///< nothing: it is down
