--- a/include/pepperlug/Quota.h
+++ b/include/pepperlug/Quota.h
@@ -38,8 +38,8 @@
 struct TenantLoad {
     std::uint64_t tenant = 0; ///< tenantHash()
     float perSecond = 0; ///< requests that all entry hosts together are asked for
-    float part = 1; ///< of them that may pass
-    MSGPACK_DEFINE(tenant, perSecond, part);
+    float admittedFraction = 1; ///< of them that may pass
+    MSGPACK_DEFINE(tenant, perSecond, admittedFraction);
 };
 
 /// A way for an entry host to keep its part of the limits.
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -336,9 +336,9 @@
         m_toldLoads = told;
     }
     for (const TenantLoad &it : reply.loads) {
-        if (it.part < 1) {
+        if (it.admittedFraction < 1) {
             m_events.decision("tenant-limited",
-                              {{"tenant_hash", it.tenant}, {"per_s", it.perSecond}, {"part", it.part}});
+                              {{"tenant_hash", it.tenant}, {"per_s", it.perSecond}, {"part", it.admittedFraction}});
         }
     }
     reduce(TenantLoadsTold{reply.loads});
--- a/lib/Quota/QuotaShares.cpp
+++ b/lib/Quota/QuotaShares.cpp
@@ -101,7 +101,7 @@
 
 bool QuotaShares::passPart(Share &share)
 {
-    const double part = share.load ? share.load->part : 1;
+    const double part = share.load ? share.load->admittedFraction : 1;
     if (part >= 1) {
         return true;
     }
@@ -173,7 +173,7 @@
     }
     Share &share = it->second;
     share.asked.add(now, -1);
-    const bool isLimited = share.load && share.load->part < 1;
+    const bool isLimited = share.load && share.load->admittedFraction < 1;
     share.credit += isLimited ? 1 : 0;
     share.tokens += 1;
 }
@@ -202,8 +202,9 @@
 
 void QuotaShares::retell(TimePoint now)
 {
-    const bool isLimited = std::any_of(m_shares.begin(), m_shares.end(),
-                                       [](const auto &it) { return it.second.load && it.second.load->part < 1; });
+    const bool isLimited = std::any_of(m_shares.begin(), m_shares.end(), [](const auto &it) {
+        return it.second.load && it.second.load->admittedFraction < 1;
+    });
     if (now < m_nextRetell && !isLimited && !hasSurged(now)) {
         return;
     }
@@ -244,11 +245,11 @@
 Milliseconds QuotaShares::retryAfter(const std::string &tenant) const
 {
     const auto it = m_shares.find(tenantHash(tenant));
-    const bool isLimited = it != m_shares.end() && it->second.load && it->second.load->part > 0;
+    const bool isLimited = it != m_shares.end() && it->second.load && it->second.load->admittedFraction > 0;
     if (!isLimited) {
         return ShortestQuotaAdvice;
     }
-    const std::chrono::duration<double, std::milli> advised = ShortestQuotaAdvice / it->second.load->part;
+    const std::chrono::duration<double, std::milli> advised = ShortestQuotaAdvice / it->second.load->admittedFraction;
     return std::chrono::duration_cast<Milliseconds>(
         std::min<std::chrono::duration<double, std::milli>>(advised, LongestQuotaAdvice));
 }
--- a/lib/Quota/QuotaSums.cpp
+++ b/lib/Quota/QuotaSums.cpp
@@ -88,16 +88,17 @@
 {
     const auto toldPart = [&](std::uint64_t tenant) {
         const auto it = std::ranges::lower_bound(m_toldLoads, tenant, {}, &TenantLoad::tenant);
-        return it != m_toldLoads.end() && it->tenant == tenant ? it->part : 1;
+        return it != m_toldLoads.end() && it->tenant == tenant ? it->admittedFraction : 1;
     };
     return std::any_of(loads.begin(), loads.end(),
-                       [&](const TenantLoad &it) { return it.part < toldPart(it.tenant) * UrgentPart; });
+                       [&](const TenantLoad &it) { return it.admittedFraction < toldPart(it.tenant) * UrgentPart; });
 }
 
 bool QuotaSums::isWorthTelling(const std::vector<TenantLoad> &loads) const
 {
     return !std::ranges::equal(loads, m_toldLoads, [](const TenantLoad &now, const TenantLoad &told) {
-        const bool isPartAlike = std::abs(now.part - told.part) <= PartTolerance * told.part;
+        const bool isPartAlike =
+            std::abs(now.admittedFraction - told.admittedFraction) <= PartTolerance * told.admittedFraction;
         const bool isAskedAlike = std::abs(now.perSecond - told.perSecond) <= AskedTolerance * told.perSecond;
         return now.tenant == told.tenant && isPartAlike && isAskedAlike;
     });
@@ -122,7 +123,7 @@
 
 bool QuotaSums::binds() const
 {
-    return std::any_of(m_loads.begin(), m_loads.end(), [](const TenantLoad &it) { return it.part < 1; });
+    return std::any_of(m_loads.begin(), m_loads.end(), [](const TenantLoad &it) { return it.admittedFraction < 1; });
 }
 
 } // namespace pepperlug::fleet
