--- a/include/pepperlug/Quota.h
+++ b/include/pepperlug/Quota.h
@@ -50,9 +50,9 @@
     {
         it.admit(tenant, limit, now)
         } -> std::same_as<bool>;
-    it.giveBack(tenant, now);
-    it.told(loads);
-    it.heardAsOf(now);
+    it.refund(tenant, now);
+    it.updateLoads(loads);
+    it.recordContact(now);
     {
         it.demand(now)
         } -> std::same_as<std::vector<TenantDemand>>;
@@ -70,11 +70,11 @@
     /// Whether a request of a tenant may be sent. To be asked once for each request that has a target.
     bool admit(const std::string &tenant, const TenantLimit &limit, TimePoint now);
     /// An admitted request did not run.
-    void giveBack(const std::string &tenant, TimePoint now);
+    void refund(const std::string &tenant, TimePoint now);
     /// Takes what control hosts know of all tenants.
-    void told(const std::vector<TenantLoad> &loads);
+    void updateLoads(const std::vector<TenantLoad> &loads);
     /// A control host with a majority was heard: what it told holds as of then.
-    void heardAsOf(TimePoint at);
+    void recordContact(TimePoint at);
     /// How many there are, this one included.
     void setEntryHosts(std::size_t count);
     /// What this host is asked for, to be told to control hosts. Stays the same for a while, so that they need not pass
--- a/lib/Balance/Quotas.cpp
+++ b/lib/Balance/Quotas.cpp
@@ -11,7 +11,7 @@
 
 void Balancer::Impl::on(const TenantLoadsTold &event)
 {
-    m_quotas.told(event.loads);
+    m_quotas.updateLoads(event.loads);
 }
 
 bool Balancer::Impl::isWithinQuota(OpenRequest &open)
@@ -26,7 +26,7 @@
 void Balancer::Impl::giveQuotaBack(const OpenRequest &open, Refusal reason)
 {
     if (open.isCharged && promisesNotRun(reason)) {
-        m_quotas.giveBack(open.tenant, m_now);
+        m_quotas.refund(open.tenant, m_now);
     }
 }
 
--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -22,7 +22,7 @@
 void Balancer::Impl::on(const NewsReceived &event)
 {
     m_lastNews = event;
-    m_quotas.heardAsOf(event.askedAt);
+    m_quotas.recordContact(event.askedAt);
     suspendIfLate();
 }
 
--- a/lib/Quota/QuotaShares.cpp
+++ b/lib/Quota/QuotaShares.cpp
@@ -165,7 +165,7 @@
     share.tokensAt = now;
 }
 
-void QuotaShares::giveBack(const std::string &tenant, TimePoint now)
+void QuotaShares::refund(const std::string &tenant, TimePoint now)
 {
     const auto it = m_shares.find(tenantHash(tenant));
     if (it == m_shares.end()) {
@@ -178,7 +178,7 @@
     share.tokens += 1;
 }
 
-void QuotaShares::told(const std::vector<TenantLoad> &loads)
+void QuotaShares::updateLoads(const std::vector<TenantLoad> &loads)
 {
     m_loads.clear();
     for (const TenantLoad &it : loads) {
@@ -190,7 +190,7 @@
     }
 }
 
-void QuotaShares::heardAsOf(TimePoint at)
+void QuotaShares::recordContact(TimePoint at)
 {
     m_heardAsOf = std::max(m_heardAsOf.value_or(at), at);
 }
--- a/unittests/Quota/EqualShares.h
+++ b/unittests/Quota/EqualShares.h
@@ -31,7 +31,7 @@
         return true;
     }
 
-    void giveBack(const std::string &tenant, TimePoint)
+    void refund(const std::string &tenant, TimePoint)
     {
         const auto it = m_tokens.find(tenant);
         if (it != m_tokens.end()) {
@@ -39,11 +39,11 @@
         }
     }
 
-    void told(const std::vector<TenantLoad> &)
+    void updateLoads(const std::vector<TenantLoad> &)
     {
     }
 
-    void heardAsOf(TimePoint)
+    void recordContact(TimePoint)
     {
     }
 
--- a/unittests/Quota/QuotaNetwork.h
+++ b/unittests/Quota/QuotaNetwork.h
@@ -294,8 +294,8 @@
             m_news.emplace(m_now + Way, [this, n, loads, askedAt, life = heard.life] {
                 Entry &asker = m_entries[n];
                 if (asker.policy && asker.life == life) {
-                    asker.policy->told(loads);
-                    asker.policy->heardAsOf(askedAt);
+                    asker.policy->updateLoads(loads);
+                    asker.policy->recordContact(askedAt);
                 }
             });
         });
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -204,14 +204,14 @@
 {
     QuotaShares shares({5s, 0.1, 20}, 1);
     const TimePoint start(1000s);
-    shares.heardAsOf(start);
+    shares.recordContact(start);
     for (int n = 0; n < 500; ++n) { // half of what all are asked for
-        shares.heardAsOf(start + n * 10ms);
+        shares.recordContact(start + n * 10ms);
         REQUIRE(shares.admit("t", {10, 10}, start + n * 10ms));
     }
     shares.demand(start + 5s);
-    shares.told({{tenantHash("t"), 200, 1}});
-    shares.heardAsOf(start + 5s);
+    shares.updateLoads({{tenantHash("t"), 200, 1}});
+    shares.recordContact(start + 5s);
     unsigned passed = 0;
     for (int n = 0; n < 100; ++n) {
         passed += shares.admit("t", {10, 10}, start + 11s + n * 10ms) ? 1 : 0;
@@ -230,12 +230,12 @@
         now += 100ms;
         return shares.admit("t", Small, now);
     };
-    shares.heardAsOf(now);
+    shares.recordContact(now);
     REQUIRE(ask());
     now += 6s;
     while (ask()) { // its share without word is soon used up
     }
-    shares.heardAsOf(now);
+    shares.recordContact(now);
     for (int n = 0; n < 3; ++n) {
         CHECK(ask());
     }
