--- a/include/pepperlug/Quota.h
+++ b/include/pepperlug/Quota.h
@@ -76,7 +76,7 @@
     /// A control host with a majority was heard: what it told holds as of then.
     void recordContact(TimePoint at);
     /// How many there are, this one included.
-    void setEntryHosts(std::size_t count);
+    void setEntryHostCount(std::size_t count);
     /// What this host is asked for, to be told to control hosts. Stays the same for a while, so that they need not pass
     /// it on, unless a limit binds or is about to.
     std::vector<TenantDemand> demand(TimePoint now);
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -124,7 +124,7 @@
 void Balancer::Impl::on(const ReportsChanged &event)
 {
     m_targets.apply(event.changes, m_now);
-    m_quotas.setEntryHosts(m_targets.entryHosts());
+    m_quotas.setEntryHostCount(m_targets.entryHosts());
     m_targets.remember(event.remembered, m_now);
     if (!event.demand.empty()) {
         m_targets.setDemand(event.demand);
--- a/lib/Quota/QuotaShares.cpp
+++ b/lib/Quota/QuotaShares.cpp
@@ -195,7 +195,7 @@
     m_heardAsOf = std::max(m_heardAsOf.value_or(at), at);
 }
 
-void QuotaShares::setEntryHosts(std::size_t count)
+void QuotaShares::setEntryHostCount(std::size_t count)
 {
     m_entryHosts = std::max<std::size_t>(1, count);
 }
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -28,7 +28,7 @@
 {
     QuotaNetwork<QuotaShares> network(plan, [&](unsigned, std::uint64_t seed) {
         QuotaShares shares(plan.terms, seed);
-        shares.setEntryHosts(plan.entryHosts);
+        shares.setEntryHostCount(plan.entryHosts);
         return shares;
     });
     return network.run();
@@ -224,7 +224,7 @@
 TEST_CASE("a small tenant is served as before once control hosts are heard again")
 {
     QuotaShares shares({5s, 0.1, 20}, 1);
-    shares.setEntryHosts(66);
+    shares.setEntryHostCount(66);
     TimePoint now(1000s);
     const auto ask = [&] {
         now += 100ms;
