--- a/include/pepperlug/Quota.h
+++ b/include/pepperlug/Quota.h
@@ -130,7 +130,7 @@
 
 /// What all entry hosts together are asked for in each tenant's name, as one control host knows it, and which part of
 /// it may pass.
-class QuotaSums
+class QuotaAggregator
 {
 public:
     /// Takes the limits in force and the sums by tenantHash(); to be called regularly.
--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -53,7 +53,7 @@
     NewsPosition confirmed;
     NewsOffer<SuspectReport> suspects; ///< requests under which targets ended
     NewsOffer<BackpressureReport> backpressure; ///< what targets ask for in their answers
-    std::uint64_t loadsSince = 0; ///< version of the asked host's QuotaSums that the asker has
+    std::uint64_t loadsSince = 0; ///< version of the asked host's QuotaAggregator that the asker has
     MSGPACK_DEFINE(self, epoch, since, routingIndex, routingHeard, patience, confirmed, suspects, backpressure,
                    loadsSince);
 };
@@ -73,7 +73,7 @@
     std::vector<std::string> routingChanges;
     NewsAnswer<SuspectReport> suspects;
     NewsAnswer<BackpressureReport> backpressure;
-    std::uint64_t loadsVersion = 0; ///< for entry hosts: version of the told host's QuotaSums
+    std::uint64_t loadsVersion = 0; ///< for entry hosts: version of the told host's QuotaAggregator
     std::vector<TenantLoad> loads; ///< for entry hosts: all of them, where the asker has another version
     MSGPACK_DEFINE(epoch, version, isCurrent, changes, isWhole, demand, remembered, routingIndex, routingChanges,
                    suspects, backpressure, loadsVersion, loads);
--- a/lib/Fleet/RegistryImpl.h
+++ b/lib/Fleet/RegistryImpl.h
@@ -169,7 +169,7 @@
     RoutingHistory m_history; ///< of m_routing, as entry hosts are told of it
     Quarantine m_quarantine;
     BackpressureTable m_backpressure;
-    QuotaSums m_quotas;
+    QuotaAggregator m_quotas;
     TimePoint m_nextQuotas{};
     NewsConfirmations m_confirmations;
     std::map<std::string, TakenConfirmation> m_takenConfirmations; ///< by peer address of the confirming host
--- a/lib/Quota/QuotaSums.cpp
+++ b/lib/Quota/QuotaSums.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 // The burst is used up before anything is refused, but for what still comes until the hosts hear that it is.
-double QuotaSums::partOf(const TenantLimit &limit, double asked, double level)
+double QuotaAggregator::partOf(const TenantLimit &limit, double asked, double level)
 {
     const double excess = asked - limit.perSecond;
     const bool hasBurst = level >= 0 && level > excess * ReactionTime.count() * Foresight;
@@ -41,7 +41,8 @@
     return std::min(1.0, rate / asked);
 }
 
-void QuotaSums::follow(Bucket &bucket, const TenantLimit &limit, double asked, std::chrono::duration<double> passed)
+void QuotaAggregator::follow(Bucket &bucket, const TenantLimit &limit, double asked,
+                             std::chrono::duration<double> passed)
 {
     bucket.partInUse += (bucket.part - bucket.partInUse) * -std::expm1(-passed / ReactionTime);
     const double gain = (limit.perSecond - asked * bucket.partInUse) * passed.count();
@@ -50,8 +51,8 @@
     bucket.part = partOf(limit, asked, bucket.level);
 }
 
-void QuotaSums::follow(const std::vector<Tenant> &tenants, const std::unordered_map<std::uint64_t, double> &asked,
-                       TimePoint now)
+void QuotaAggregator::follow(const std::vector<Tenant> &tenants, const std::unordered_map<std::uint64_t, double> &asked,
+                             TimePoint now)
 {
     const std::chrono::duration<double> passed = now - m_followedAt.value_or(now);
     m_followedAt = now;
@@ -84,7 +85,7 @@
 }
 
 // A limit that binds, or binds harder, can't wait: what passes until hosts hear of it is too much.
-bool QuotaSums::isUrgent(const std::vector<TenantLoad> &loads) const
+bool QuotaAggregator::isUrgent(const std::vector<TenantLoad> &loads) const
 {
     const auto toldPart = [&](std::uint64_t tenant) {
         const auto it = std::ranges::lower_bound(m_toldLoads, tenant, {}, &TenantLoad::tenant);
@@ -94,7 +95,7 @@
                        [&](const TenantLoad &it) { return it.admittedFraction < toldPart(it.tenant) * UrgentPart; });
 }
 
-bool QuotaSums::isWorthTelling(const std::vector<TenantLoad> &loads) const
+bool QuotaAggregator::isWorthTelling(const std::vector<TenantLoad> &loads) const
 {
     return !std::ranges::equal(loads, m_toldLoads, [](const TenantLoad &now, const TenantLoad &told) {
         const bool isPartAlike =
@@ -104,24 +105,24 @@
     });
 }
 
-void QuotaSums::recall(std::vector<TenantLoad> loads)
+void QuotaAggregator::recall(std::vector<TenantLoad> loads)
 {
     m_loads = std::move(loads);
     m_toldLoads = m_loads;
     ++m_version;
 }
 
-const std::vector<TenantLoad> &QuotaSums::loads() const
+const std::vector<TenantLoad> &QuotaAggregator::loads() const
 {
     return m_loads;
 }
 
-std::uint64_t QuotaSums::version() const
+std::uint64_t QuotaAggregator::version() const
 {
     return m_version;
 }
 
-bool QuotaSums::binds() const
+bool QuotaAggregator::binds() const
 {
     return std::any_of(m_loads.begin(), m_loads.end(), [](const TenantLoad &it) { return it.admittedFraction < 1; });
 }
--- a/unittests/Quota/QuotaNetwork.h
+++ b/unittests/Quota/QuotaNetwork.h
@@ -121,7 +121,7 @@
     };
 
     struct Control {
-        QuotaSums sums;
+        QuotaAggregator sums;
         std::map<unsigned, Heard> heard; ///< by entry host
         TimePoint startedAt{};
         TimePoint nextPeer{};
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -248,7 +248,7 @@
     shares.admit("t", {10, 10}, start);
     CHECK(shares.demand(start).size() == 1);
     CHECK(shares.demand(start + 10s).empty());
-    QuotaSums sums;
+    QuotaAggregator sums;
     std::vector<Tenant> tenants(10'000);
     for (std::size_t n = 0; n < tenants.size(); ++n) {
         tenants[n].name = std::to_string(n);
