--- a/include/pepperlug/Quota.h
+++ b/include/pepperlug/Quota.h
@@ -134,16 +134,16 @@
 {
 public:
     /// Takes the limits in force and the sums by tenantHash(); to be called regularly.
-    void follow(const std::vector<Tenant> &tenants, const std::unordered_map<std::uint64_t, double> &asked,
+    void update(const std::vector<Tenant> &tenants, const std::unordered_map<std::uint64_t, double> &asked,
                 TimePoint now);
     /// Goes by what was told before a restart until the sums are known again.
-    void recall(std::vector<TenantLoad> loads);
+    void restore(std::vector<TenantLoad> loads);
     /// Of the tenants that come near their limits.
     const std::vector<TenantLoad> &loads() const;
     /// Rises whenever hosts should hear of the loads; 1 at first.
     std::uint64_t version() const;
     /// Whether some limit lets less than all pass.
-    bool binds() const;
+    bool isLimiting() const;
 
 private:
     struct Bucket {
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -119,7 +119,7 @@
         if (m_remembered) {
             m_rememberedHistory.append(viewOf(m_remembered->routing));
             hearSuspects(m_remembered->suspects, false, m_clock.now());
-            m_quotas.recall(m_remembered->loads);
+            m_quotas.restore(m_remembered->loads);
         }
     } catch (const Error &ex) {
         // Only the time until everybody has reported is lost.
@@ -138,7 +138,7 @@
         m_remembered.reset();
     }
     // Sums move all the time; they are worth a write of the file only where a limit binds, or did when it was written.
-    const bool hasNewLimits = m_quotas.version() != m_rememberedLoads && (m_quotas.binds() || m_remembersLimits);
+    const bool hasNewLimits = m_quotas.version() != m_rememberedLoads && (m_quotas.isLimiting() || m_remembersLimits);
     const bool isNew = m_registry.changedVersion() != m_rememberedVersion || m_routing.index() != m_rememberedIndex
         || m_quarantine.version() != m_rememberedSuspects || hasNewLimits;
     // Until this host knows more than the file does, the file stays.
@@ -150,7 +150,7 @@
     m_rememberedIndex = m_routing.index();
     m_rememberedSuspects = m_quarantine.version();
     m_rememberedLoads = m_quotas.version();
-    m_remembersLimits = m_quotas.binds();
+    m_remembersLimits = m_quotas.isLimiting();
     Remembered remembered = rememberedOf(m_routing, m_registry);
     remembered.suspects = m_quarantine.changedSince(0, NewsReader::ControlHost, now);
     remembered.loads = m_quotas.loads();
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -249,7 +249,7 @@
         return;
     }
     m_nextQuotas = now + QuotasInterval;
-    m_quotas.follow(table->tenants, m_registry.tenantDemand(now, QuotaHoldTime), now);
+    m_quotas.update(table->tenants, m_registry.tenantDemand(now, QuotaHoldTime), now);
 }
 
 std::vector<std::string> RegistryDaemon::Impl::liveEntryHosts(const std::string &region) const
--- a/lib/Quota/QuotaSums.cpp
+++ b/lib/Quota/QuotaSums.cpp
@@ -51,7 +51,7 @@
     bucket.part = partOf(limit, asked, bucket.level);
 }
 
-void QuotaAggregator::follow(const std::vector<Tenant> &tenants, const std::unordered_map<std::uint64_t, double> &asked,
+void QuotaAggregator::update(const std::vector<Tenant> &tenants, const std::unordered_map<std::uint64_t, double> &asked,
                              TimePoint now)
 {
     const std::chrono::duration<double> passed = now - m_followedAt.value_or(now);
@@ -105,7 +105,7 @@
     });
 }
 
-void QuotaAggregator::recall(std::vector<TenantLoad> loads)
+void QuotaAggregator::restore(std::vector<TenantLoad> loads)
 {
     m_loads = std::move(loads);
     m_toldLoads = m_loads;
@@ -122,7 +122,7 @@
     return m_version;
 }
 
-bool QuotaAggregator::binds() const
+bool QuotaAggregator::isLimiting() const
 {
     return std::any_of(m_loads.begin(), m_loads.end(), [](const TenantLoad &it) { return it.admittedFraction < 1; });
 }
--- a/unittests/Quota/QuotaNetwork.h
+++ b/unittests/Quota/QuotaNetwork.h
@@ -213,7 +213,7 @@
         for (Control &it : m_controls) {
             const std::vector<TenantLoad> disk = it.sums.loads();
             it = {};
-            it.sums.recall(disk);
+            it.sums.restore(disk);
             it.startedAt = m_now + DownTime;
         }
     }
@@ -335,7 +335,7 @@
         }
         Tenant tenant{Name, {}};
         tenant.limit = m_limit;
-        control.sums.follow({tenant}, sums, m_now);
+        control.sums.update({tenant}, sums, m_now);
     }
 
     double mostOver() const
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -254,6 +254,6 @@
         tenants[n].name = std::to_string(n);
         tenants[n].limit = {10, 10};
     }
-    sums.follow(tenants, {{tenantHash("7"), 9}}, start);
+    sums.update(tenants, {{tenantHash("7"), 9}}, start);
     CHECK(sums.loads().size() == 1);
 }
