--- a/include/pepperlug/Consensus.h
+++ b/include/pepperlug/Consensus.h
@@ -165,7 +165,7 @@
 };
 
 /// The command is in the log at this place; it is decided when ApplyEntry shows that index with that term.
-struct CommandPlaced {
+struct CommandAppended {
     std::uint64_t token = 0;
     std::uint64_t index = 0;
     std::uint64_t term = 0;
@@ -186,7 +186,7 @@
 };
 
 using ControlEffect =
-    std::variant<PersistLog, PersistSnapshot, SendMessage, ApplyEntry, CommandPlaced, CommandRejected, RoleChanged>;
+    std::variant<PersistLog, PersistSnapshot, SendMessage, ApplyEntry, CommandAppended, CommandRejected, RoleChanged>;
 using ControlEffects = std::vector<ControlEffect>;
 
 struct ConsensusSettings {
--- a/lib/Consensus/Consensus.cpp
+++ b/lib/Consensus/Consensus.cpp
@@ -82,7 +82,7 @@
         return;
     }
     append(EntryKind::Command, event.command);
-    m_out->emplace_back(CommandPlaced{event.token, lastIndex(), m_hard.term});
+    m_out->emplace_back(CommandAppended{event.token, lastIndex(), m_hard.term});
     replicateAll();
     advanceCommit();
 }
--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -242,7 +242,7 @@
     m_waiting.erase(waiting);
 }
 
-void ControlDaemon::Impl::carryOut(const CommandPlaced &effect)
+void ControlDaemon::Impl::carryOut(const CommandAppended &effect)
 {
     m_placed[effect.index] = {effect.token, effect.term};
 }
--- a/lib/Daemon/ControlImpl.h
+++ b/lib/Daemon/ControlImpl.h
@@ -35,7 +35,7 @@
     void carryOut(const PersistSnapshot &effect);
     void carryOut(const SendMessage &effect);
     void carryOut(const ApplyEntry &effect);
-    void carryOut(const CommandPlaced &effect);
+    void carryOut(const CommandAppended &effect);
     void carryOut(const CommandRejected &effect);
     void carryOut(const RoleChanged &effect);
     void onPeerCall(const IncomingCallPtr &call);
--- a/lib/Fleet/ControlLog.cpp
+++ b/lib/Fleet/ControlLog.cpp
@@ -198,7 +198,7 @@
     end(place.token, {isOurs, result, {}});
 }
 
-void ControlLog::carryOut(const CommandPlaced &effect)
+void ControlLog::carryOut(const CommandAppended &effect)
 {
     m_placed[effect.index] = {effect.token, effect.term};
 }
