--- a/include/pepperlug/Consensus.h
+++ b/include/pepperlug/Consensus.h
@@ -79,9 +79,9 @@
 struct VoteReply {
     ControlSender sender;
     bool isPreVote = false;
-    std::uint64_t askedTerm = 0; ///< term for which the vote was asked
+    std::uint64_t requestedTerm = 0; ///< term for which the vote was asked
     bool granted = false;
-    MSGPACK_DEFINE(sender, isPreVote, askedTerm, granted);
+    MSGPACK_DEFINE(sender, isPreVote, requestedTerm, granted);
 };
 
 struct AppendRequest {
--- a/lib/Consensus/Election.cpp
+++ b/lib/Consensus/Election.cpp
@@ -137,7 +137,7 @@
         return;
     }
     if (message.isPreVote) {
-        if (m_role != ControlRole::PreCandidate || message.askedTerm != m_hard.term + 1) {
+        if (m_role != ControlRole::PreCandidate || message.requestedTerm != m_hard.term + 1) {
             return;
         }
         m_votes.insert(from.name);
@@ -146,7 +146,7 @@
         }
         return;
     }
-    if (m_role != ControlRole::Candidate || message.askedTerm != m_hard.term) {
+    if (m_role != ControlRole::Candidate || message.requestedTerm != m_hard.term) {
         return;
     }
     m_votes.insert(from.name);
