--- a/include/pepperlug/Consensus.h
+++ b/include/pepperlug/Consensus.h
@@ -228,7 +228,7 @@
     bool canRead(TimePoint now) const;
     bool isVoter() const;
     /// When a leader was heard last; the start of this process if never.
-    TimePoint leaderHeardAt() const;
+    TimePoint lastLeaderContact() const;
     /// Until when isCurrent() holds if nothing more is heard.
     TimePoint currentUntil() const;
 
--- a/lib/Consensus/Consensus.cpp
+++ b/lib/Consensus/Consensus.cpp
@@ -187,7 +187,7 @@
     return m_role == ControlRole::Leader && now < m_leaseUntil && termAt(m_commit) == m_hard.term;
 }
 
-TimePoint Consensus::leaderHeardAt() const
+TimePoint Consensus::lastLeaderContact() const
 {
     return m_leaderHeard;
 }
