--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -1,10 +1,11 @@
-//===- pepperlug/Quarantine.h - Requests that end the targets which run them -===//
+//===- pepperlug/Quarantine.h - Requests that crash targets ------*- C++ -*-===//
 //
-// Which requests are the same one, though each try bears an id of its own; under
-// which of them targets have ended; and which are shut out for that. Every host
-// keeps such a table and tells the others what it saw. What two hosts know of a
-// request adds up in any order and any number of times, since each end is named
-// by the incarnation that ended. Pure: time is passed in.
+// Identifies requests across tries, each of which has a request id of its own,
+// records the crashes of targets at which a request was present, and quarantines
+// requests that keep crashing targets. Every host keeps such a table and reports
+// its changes to the others. Reports may be merged in any order and any number
+// of times, since each crash is identified by the incarnation that ended. Pure:
+// time is passed in.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -14,107 +15,112 @@
 namespace pepperlug::fleet
 {
 
-/// What makes two tries the same request. Nothing that a caller draws anew for each try belongs to it.
+/// The fields in which all tries of the same request agree. Nothing that a caller generates for each try belongs here.
 struct RequestIdentity {
     std::string_view method;
     std::string_view host;
     std::string_view resource; ///< path and query as sent
-    std::string_view caller; ///< what the caller says of who it is; a request may end targets for one caller alone
+    std::string_view caller; ///< identity that the caller claims; a request may crash targets for one caller only
     std::string_view body;
 };
 
-/// The same for the same request at every host and after each restart; nobody can make another request look alike.
+/// Returns the same digest for the same request at every host and after each restart. Nobody can make another request
+/// with the same digest.
 std::string digestOf(const RequestIdentity &identity);
 
-/// A target ended while a request was there.
+/// A crash: the end of a target's incarnation while a request ran or waited there, whatever caused it.
 struct TargetCrash {
     Incarnation target;
-    Milliseconds age{}; ///< since it was noticed
-    bool isExcused = false; ///< the request was answered by a target afterwards, so it was not what ended this one
+    Milliseconds age{}; ///< since it was detected
+    bool isExcused = false; ///< a target answered the request afterwards, so it was not what crashed this one
     MSGPACK_DEFINE(target, age, isExcused);
 };
 
-/// What one host tells another of a request.
+/// The crashes and probes of a request, as one host reports them to another.
 struct SuspectReport {
     std::string digest;
     std::vector<TargetCrash> crashes;
-    unsigned grantedProbes = 0; ///< that were granted so far
-    Milliseconds newestProbeAge{}; ///< since the newest of them
+    unsigned grantedProbes = 0; ///< so far
+    Milliseconds newestProbeAge{}; ///< since the newest probe was granted
     MSGPACK_DEFINE(digest, crashes, grantedProbes, newestProbeAge);
 };
 
-/// Between the last end and the first trial of a request that is shut out; ten times as long to the next one, and
-/// again. Each target that a trial ends takes up to ten requests along: at first one a minute may be lost to it, then
-/// less.
+/// Delay between the last crash and the first probe of a quarantined request. A probe is one try that is allowed in
+/// order to see whether the request still crashes targets; the delay before each further probe is ten times as long.
+/// Each target that a probe crashes loses up to ten other requests with it: at first one target a minute may be lost,
+/// then fewer.
 constexpr std::chrono::minutes FirstProbeDelay{1};
 
 /// What may be done with a request.
 enum class QuarantineStatus : std::uint8_t {
-    Free,
-    Suspected, ///< two targets ended under it: not sent to another one where the first may have run it
-    Quarantined, ///< three did: not sent at all
-    ProbeDue, ///< shut out for long enough that one try may be allowed, in the whole system
+    Free, ///< fewer than two crashes that count
+    Suspected, ///< two crashes: not sent to another target where the first one may have run it
+    Quarantined, ///< three crashes: not sent at all
+    ProbeDue, ///< quarantined for long enough that one probe may be granted, in the whole system
 };
-const char *nameOf(QuarantineStatus standing);
+const char *nameOf(QuarantineStatus status);
 
 class Quarantine
 {
 public:
-    explicit Quarantine(Duration firstTrialPause = FirstProbeDelay);
+    explicit Quarantine(Duration firstProbeDelay = FirstProbeDelay);
 
-    /// A target ended under a request. Returns whether that is new.
+    /// Records that a target crashed while a request was there. Returns true if the crash is new.
     bool recordCrash(const std::string &digest, const Incarnation &target, TimePoint now);
-    /// A target ran a request to its end and answered: the ends known so far are excused. Returns whether any was not.
+    /// Records that a target ran a request to its end and answered, which excuses all crashes known so far. Returns
+    /// true if any of them was not excused yet.
     bool recordAnswer(const std::string &digest);
-    /// One try of a request is allowed. Returns false if none is due.
+    /// Grants one probe of a request. Returns false if none is due.
     bool grantProbe(const std::string &digest, TimePoint now);
-    /// Takes what another host told. `isDirect`: this host speaks for the other one towards control hosts. Returns
-    /// whether something was new.
+    /// Merges a report of another host. `isDirect`: this host passes it on to control hosts on behalf of the other one.
+    /// Returns true if anything in it was new.
     bool merge(const SuspectReport &report, bool isDirect, TimePoint now);
-    /// Drops what is too old to matter; to be called regularly, and looks now and then. Returns whether it did.
+    /// Removes expired crashes, and requests without any; to be called regularly. Searches for them at intervals only;
+    /// returns true if it did.
     bool removeExpired(TimePoint now);
 
     QuarantineStatus statusOf(const std::string &digest, TimePoint now) const;
-    /// Until a try may be allowed; nothing if none will be until the request is forgotten, or it is not shut out.
+    /// Returns the time until a probe may be granted; nothing if none will be before the request expires, or if it is
+    /// not quarantined.
     std::optional<Duration> timeUntilProbe(const std::string &digest, TimePoint now) const;
-    /// Ends that speak against a request.
+    /// Returns the number of crashes that are not excused.
     std::size_t crashCount(const std::string &digest) const;
-    /// What changed since a version, for a reader; with version 0 all that matters to it. To an entry host a request
-    /// matters once at least two targets ended under it.
+    /// Returns the reports that changed since a version and concern a reader; with version 0 all that concern it.
+    /// Control hosts receive all reports, entry hosts those of requests that are or were suspected.
     std::vector<SuspectReport> changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const;
     bool hasChangedSince(std::uint64_t version, NewsReader reader) const;
     std::uint64_t version() const;
     std::size_t size() const;
-    /// Requests that are shut out.
+    /// Returns the number of quarantined requests.
     std::size_t quarantinedCount() const;
 
 private:
-    struct End {
-        TimePoint noticedAt{};
+    struct Crash {
+        TimePoint detectedAt{};
         bool isExcused = false;
     };
 
     struct Suspect {
-        std::map<Incarnation, End> ends;
-        unsigned trials = 0;
-        TimePoint trialAt{}; ///< of the newest
+        std::map<Incarnation, Crash> crashes;
+        unsigned grantedProbes = 0;
+        TimePoint newestProbeAt{};
         NewsMark changedAt;
-        bool mattersToEntryHosts = false; ///< they are told of it, also that it is free again
+        bool isReportedToEntryHosts = false; ///< stays set, so that they learn that it is free again
     };
 
-    static std::size_t counted(const Suspect &suspect);
-    static TimePoint newestEnd(const Suspect &suspect);
-    std::optional<TimePoint> trialDueAt(const Suspect &suspect) const;
-    static bool addEnd(Suspect &suspect, const Incarnation &target, End end);
-    static bool isForgotten(const Suspect &suspect, const End &end, TimePoint now);
-    Suspect &suspectOf(const std::string &digest);
-    void noteChange(Suspect &suspect, bool isDirect);
-    void makeRoom();
+    static std::size_t countedCrashes(const Suspect &suspect);
+    static TimePoint newestCrash(const Suspect &suspect);
+    std::optional<TimePoint> nextProbeAt(const Suspect &suspect) const;
+    static bool addCrash(Suspect &suspect, const Incarnation &target, Crash crash);
+    static bool isExpired(const Suspect &suspect, const Crash &crash, TimePoint now);
+    Suspect &findOrAddSuspect(const std::string &digest);
+    void markChanged(Suspect &suspect, bool isDirect);
+    void evictIfFull();
 
-    Duration m_firstTrialPause;
+    Duration m_firstProbeDelay;
     std::map<std::string, Suspect> m_suspects; ///< by digest
     NewsVersions m_versions;
-    TimePoint m_nextForget{};
+    TimePoint m_nextExpiry{};
 };
 
 } // namespace pepperlug::fleet
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -1,8 +1,8 @@
-//===- Quarantine.cpp - Requests that end the targets which run them -------===//
+//===- Quarantine.cpp - Requests that crash the targets which run them -----===//
 //
-// Of a target that ends it is not known which of its requests ended it, if any did; what else ran there is lost with
-// it. One that is lost at three different ends, and was answered by no target in between, is taken to be the cause. A
-// request that many callers make is at many ends by chance, but it is also answered all the time.
+// When a target crashes, nothing shows which of its requests caused it, if any did; all that ran there are lost. A
+// request that is lost in three different crashes, without an answer from any target in between, is taken to be the
+// cause. A request that many callers send is present at many crashes by chance, but it is also answered all the time.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Quarantine.h"
@@ -15,26 +15,27 @@
 namespace
 {
 
-/// With one end less, a request that had met a host's restart and one loss of its own would be taken for the cause;
-/// with one more it costs its fourth target. Drawn: SpreadTest.
-constexpr std::size_t EndsToShutOut = 3;
-constexpr std::size_t EndsToSuspect = EndsToShutOut - 1;
-/// Of each pause before a trial to the next one.
-constexpr int TrialPauseFactor = 10;
-/// Ends that trials may cost in all. Then a request stays shut out until it is forgotten.
-constexpr unsigned MaxTrials = 3;
-/// How long an end speaks against a request that is not shut out: some ten times the pause between two tries of a
-/// caller who comes back by hand.
-constexpr std::chrono::minutes SuspectTime{10};
-/// Without an end, after which a request that is shut out is forgotten: it costs six targets a day at most.
-constexpr std::chrono::hours ShutOutTime{24};
-/// Between two looks for what is too old; it is kept for minutes.
-constexpr std::chrono::seconds ForgetInterval{1};
-/// Requests that are kept, some hundred bytes each by their fields: an end adds what ran and waited at one target, up
-/// to ten.
+/// Crashes after which a request is quarantined. With one fewer, a request that met the restart of a host and one loss
+/// of its own would be taken for the cause; with one more, a harmful request costs a fourth target.
+constexpr std::size_t CrashesToQuarantine = 3;
+constexpr std::size_t CrashesToSuspect = CrashesToQuarantine - 1;
+/// Ratio of the delay before a probe to the delay before the previous one.
+constexpr int ProbeDelayFactor = 10;
+/// Probes per request, each of which may crash a target. After them a request stays quarantined until it expires.
+constexpr unsigned MaxProbes = 3;
+/// How long a crash counts against a request that is not quarantined: about ten times the interval between two tries
+/// of a caller who retries by hand.
+constexpr std::chrono::minutes SuspectLifetime{10};
+/// Time without a crash after which a quarantined request expires: it crashes at most six targets a day.
+constexpr std::chrono::hours QuarantineLifetime{24};
+/// Interval between two searches for expired crashes, which are kept for minutes.
+constexpr std::chrono::seconds ExpiryInterval{1};
+/// Requests in the table, some hundred bytes each by their fields. A crash adds those that ran or waited at the target,
+/// up to ten.
 constexpr std::size_t MaxSuspects = 1024;
-/// Ends that are kept of a request, the newest ones: several times what shuts it out, so that an excuse meets them.
-constexpr std::size_t MaxEnds = 16;
+/// Crashes kept per request, the newest ones: several times CrashesToQuarantine, so that an excuse from another host
+/// finds the crashes that it is for.
+constexpr std::size_t MaxCrashes = 16;
 
 Milliseconds ageOf(TimePoint at, TimePoint now)
 {
@@ -43,9 +44,9 @@
 
 } // namespace
 
-const char *nameOf(QuarantineStatus standing)
+const char *nameOf(QuarantineStatus status)
 {
-    switch (standing) {
+    switch (status) {
     case QuarantineStatus::Free:
         return "free";
     case QuarantineStatus::Suspected:
@@ -58,85 +59,86 @@
     return "free";
 }
 
-Quarantine::Quarantine(Duration firstTrialPause)
-    : m_firstTrialPause(firstTrialPause)
+Quarantine::Quarantine(Duration firstProbeDelay)
+    : m_firstProbeDelay(firstProbeDelay)
 {
 }
 
-std::size_t Quarantine::counted(const Suspect &suspect)
+std::size_t Quarantine::countedCrashes(const Suspect &suspect)
 {
-    return static_cast<std::size_t>(
-        std::count_if(suspect.ends.begin(), suspect.ends.end(), [](const auto &it) { return !it.second.isExcused; }));
+    return static_cast<std::size_t>(std::count_if(suspect.crashes.begin(), suspect.crashes.end(),
+                                                  [](const auto &it) { return !it.second.isExcused; }));
 }
 
-TimePoint Quarantine::newestEnd(const Suspect &suspect)
+TimePoint Quarantine::newestCrash(const Suspect &suspect)
 {
     TimePoint newest{};
-    for (const auto &[target, end] : suspect.ends) {
-        newest = std::max(newest, end.noticedAt);
+    for (const auto &[target, crash] : suspect.crashes) {
+        newest = std::max(newest, crash.detectedAt);
     }
     return newest;
 }
 
-std::optional<TimePoint> Quarantine::trialDueAt(const Suspect &suspect) const
+std::optional<TimePoint> Quarantine::nextProbeAt(const Suspect &suspect) const
 {
-    if (suspect.trials >= MaxTrials) {
+    if (suspect.grantedProbes >= MaxProbes) {
         return std::nullopt;
     }
-    Duration pause = m_firstTrialPause;
-    for (unsigned n = 0; n < suspect.trials; ++n) {
-        pause *= TrialPauseFactor;
+    Duration delay = m_firstProbeDelay;
+    for (unsigned n = 0; n < suspect.grantedProbes; ++n) {
+        delay *= ProbeDelayFactor;
     }
-    return std::max(newestEnd(suspect), suspect.trialAt) + pause;
+    return std::max(newestCrash(suspect), suspect.newestProbeAt) + delay;
 }
 
-// The newest ends are kept. An end that is known stays as it was noticed first, so that telling it again is no change.
-bool Quarantine::addEnd(Suspect &suspect, const Incarnation &target, End end)
+// Keeps the newest crashes. A known crash keeps the time of its first detection, so that a repeated report is no
+// change.
+bool Quarantine::addCrash(Suspect &suspect, const Incarnation &target, Crash crash)
 {
-    const auto known = suspect.ends.find(target);
-    if (known != suspect.ends.end()) {
-        const bool isNewExcuse = end.isExcused && !known->second.isExcused;
-        known->second.isExcused |= end.isExcused;
+    const auto known = suspect.crashes.find(target);
+    if (known != suspect.crashes.end()) {
+        const bool isNewExcuse = crash.isExcused && !known->second.isExcused;
+        known->second.isExcused |= crash.isExcused;
         return isNewExcuse;
     }
-    if (suspect.ends.size() >= MaxEnds) {
+    if (suspect.crashes.size() >= MaxCrashes) {
         const auto oldest =
-            std::min_element(suspect.ends.begin(), suspect.ends.end(), [](const auto &lhs, const auto &rhs) {
-                return lhs.second.noticedAt < rhs.second.noticedAt;
+            std::min_element(suspect.crashes.begin(), suspect.crashes.end(), [](const auto &lhs, const auto &rhs) {
+                return lhs.second.detectedAt < rhs.second.detectedAt;
             });
-        if (end.noticedAt <= oldest->second.noticedAt) {
+        if (crash.detectedAt <= oldest->second.detectedAt) {
             return false;
         }
-        suspect.ends.erase(oldest);
+        suspect.crashes.erase(oldest);
     }
-    suspect.ends.emplace(target, end);
+    suspect.crashes.emplace(target, crash);
     return true;
 }
 
-void Quarantine::noteChange(Suspect &suspect, bool isDirect)
+void Quarantine::markChanged(Suspect &suspect, bool isDirect)
 {
-    suspect.mattersToEntryHosts |= counted(suspect) >= EndsToSuspect;
-    m_versions.note(suspect.changedAt, isDirect, suspect.mattersToEntryHosts);
+    suspect.isReportedToEntryHosts |= countedCrashes(suspect) >= CrashesToSuspect;
+    m_versions.note(suspect.changedAt, isDirect, suspect.isReportedToEntryHosts);
 }
 
-Quarantine::Suspect &Quarantine::suspectOf(const std::string &digest)
+Quarantine::Suspect &Quarantine::findOrAddSuspect(const std::string &digest)
 {
     const auto it = m_suspects.find(digest);
     if (it != m_suspects.end()) {
         return it->second;
     }
-    makeRoom();
+    evictIfFull();
     return m_suspects[digest];
 }
 
-// Whoever could fill the table has ended that many targets. What is shut out stays longest.
-void Quarantine::makeRoom()
+// Quarantined requests stay longest. Whoever could fill the table has crashed a corresponding number of targets.
+void Quarantine::evictIfFull()
 {
     if (m_suspects.size() < MaxSuspects) {
         return;
     }
     const auto weight = [](const auto &it) {
-        return std::pair(counted(it.second), newestEnd(it.second));
+        return std::pair(countedCrashes(it.second), newestCrash(it.second));
     };
     m_suspects.erase(std::min_element(m_suspects.begin(), m_suspects.end(),
                                       [&](const auto &lhs, const auto &rhs) { return weight(lhs) < weight(rhs); }));
@@ -144,10 +146,10 @@
 
 bool Quarantine::recordCrash(const std::string &digest, const Incarnation &target, TimePoint now)
 {
-    Suspect &suspect = suspectOf(digest);
-    const bool isNew = addEnd(suspect, target, {now, false});
+    Suspect &suspect = findOrAddSuspect(digest);
+    const bool isNew = addCrash(suspect, target, {now, false});
     if (isNew) {
-        noteChange(suspect, true);
+        markChanged(suspect, true);
     }
     return isNew;
 }
@@ -155,13 +157,13 @@
 bool Quarantine::recordAnswer(const std::string &digest)
 {
     const auto it = m_suspects.find(digest);
-    if (it == m_suspects.end() || counted(it->second) == 0) {
+    if (it == m_suspects.end() || countedCrashes(it->second) == 0) {
         return false;
     }
-    for (auto &[target, end] : it->second.ends) {
-        end.isExcused = true;
+    for (auto &[target, crash] : it->second.crashes) {
+        crash.isExcused = true;
     }
-    noteChange(it->second, true);
+    markChanged(it->second, true);
     return true;
 }
 
@@ -171,9 +173,9 @@
         return false;
     }
     Suspect &suspect = m_suspects.at(digest);
-    ++suspect.trials;
-    suspect.trialAt = now;
-    noteChange(suspect, true);
+    ++suspect.grantedProbes;
+    suspect.newestProbeAt = now;
+    markChanged(suspect, true);
     return true;
 }
 
@@ -182,48 +184,48 @@
     if (report.crashes.empty()) {
         return false;
     }
-    Suspect &suspect = suspectOf(report.digest);
+    Suspect &suspect = findOrAddSuspect(report.digest);
     bool isNew = false;
     for (const TargetCrash &it : report.crashes) {
-        isNew |= addEnd(suspect, it.target, {now - it.age, it.isExcused});
+        isNew |= addCrash(suspect, it.target, {now - it.age, it.isExcused});
     }
-    if (report.grantedProbes > suspect.trials) {
-        suspect.trials = report.grantedProbes;
-        suspect.trialAt = now - report.newestProbeAge;
+    if (report.grantedProbes > suspect.grantedProbes) {
+        suspect.grantedProbes = report.grantedProbes;
+        suspect.newestProbeAt = now - report.newestProbeAge;
         isNew = true;
     }
     if (isNew) {
-        noteChange(suspect, isDirect);
+        markChanged(suspect, isDirect);
     }
     return isNew;
 }
 
-bool Quarantine::isForgotten(const Suspect &suspect, const End &end, TimePoint now)
+bool Quarantine::isExpired(const Suspect &suspect, const Crash &crash, TimePoint now)
 {
-    if (counted(suspect) >= EndsToShutOut) {
-        return now - newestEnd(suspect) > ShutOutTime;
+    if (countedCrashes(suspect) >= CrashesToQuarantine) {
+        return now - newestCrash(suspect) > QuarantineLifetime;
     }
-    return now - end.noticedAt > SuspectTime;
+    return now - crash.detectedAt > SuspectLifetime;
 }
 
 bool Quarantine::removeExpired(TimePoint now)
 {
-    if (now < m_nextForget) {
+    if (now < m_nextExpiry) {
         return false;
     }
-    m_nextForget = now + ForgetInterval;
+    m_nextExpiry = now + ExpiryInterval;
     for (auto it = m_suspects.begin(); it != m_suspects.end();) {
         Suspect &suspect = it->second;
         std::vector<Incarnation> old;
-        for (const auto &[target, end] : suspect.ends) {
-            if (isForgotten(suspect, end, now)) {
+        for (const auto &[target, crash] : suspect.crashes) {
+            if (isExpired(suspect, crash, now)) {
                 old.push_back(target);
             }
         }
         for (const Incarnation &target : old) {
-            suspect.ends.erase(target);
+            suspect.crashes.erase(target);
         }
-        it = suspect.ends.empty() ? m_suspects.erase(it) : std::next(it);
+        it = suspect.crashes.empty() ? m_suspects.erase(it) : std::next(it);
     }
     return true;
 }
@@ -231,44 +233,44 @@
 QuarantineStatus Quarantine::statusOf(const std::string &digest, TimePoint now) const
 {
     const auto it = m_suspects.find(digest);
-    const std::size_t ends = it == m_suspects.end() ? 0 : counted(it->second);
-    if (ends < EndsToSuspect) {
+    const std::size_t crashes = it == m_suspects.end() ? 0 : countedCrashes(it->second);
+    if (crashes < CrashesToSuspect) {
         return QuarantineStatus::Free;
     }
-    if (ends < EndsToShutOut) {
+    if (crashes < CrashesToQuarantine) {
         return QuarantineStatus::Suspected;
     }
-    const std::optional<TimePoint> due = trialDueAt(it->second);
+    const std::optional<TimePoint> due = nextProbeAt(it->second);
     return due && now >= *due ? QuarantineStatus::ProbeDue : QuarantineStatus::Quarantined;
 }
 
 std::optional<Duration> Quarantine::timeUntilProbe(const std::string &digest, TimePoint now) const
 {
     const auto it = m_suspects.find(digest);
-    if (it == m_suspects.end() || counted(it->second) < EndsToShutOut) {
+    if (it == m_suspects.end() || countedCrashes(it->second) < CrashesToQuarantine) {
         return std::nullopt;
     }
-    const std::optional<TimePoint> due = trialDueAt(it->second);
+    const std::optional<TimePoint> due = nextProbeAt(it->second);
     return due ? std::optional(std::max(Duration(0), *due - now)) : std::nullopt;
 }
 
 std::size_t Quarantine::crashCount(const std::string &digest) const
 {
     const auto it = m_suspects.find(digest);
-    return it == m_suspects.end() ? 0 : counted(it->second);
+    return it == m_suspects.end() ? 0 : countedCrashes(it->second);
 }
 
 std::vector<SuspectReport> Quarantine::changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const
 {
     std::vector<SuspectReport> reports;
     for (const auto &[digest, suspect] : m_suspects) {
-        const bool isWhole = version == 0 && reader == NewsReader::ControlHost;
-        if (!isWhole && suspect.changedAt.newestFor(reader) <= version) {
+        const bool isFullReport = version == 0 && reader == NewsReader::ControlHost;
+        if (!isFullReport && suspect.changedAt.newestFor(reader) <= version) {
             continue;
         }
-        SuspectReport report{digest, {}, suspect.trials, ageOf(suspect.trialAt, now)};
-        for (const auto &[target, end] : suspect.ends) {
-            report.crashes.push_back({target, ageOf(end.noticedAt, now), end.isExcused});
+        SuspectReport report{digest, {}, suspect.grantedProbes, ageOf(suspect.newestProbeAt, now)};
+        for (const auto &[target, crash] : suspect.crashes) {
+            report.crashes.push_back({target, ageOf(crash.detectedAt, now), crash.isExcused});
         }
         reports.push_back(std::move(report));
     }
@@ -292,8 +294,9 @@
 
 std::size_t Quarantine::quarantinedCount() const
 {
-    return static_cast<std::size_t>(std::count_if(m_suspects.begin(), m_suspects.end(),
-                                                  [](const auto &it) { return counted(it.second) >= EndsToShutOut; }));
+    return static_cast<std::size_t>(std::count_if(m_suspects.begin(), m_suspects.end(), [](const auto &it) {
+        return countedCrashes(it.second) >= CrashesToQuarantine;
+    }));
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Quarantine/RequestIdentity.cpp
+++ b/lib/Quarantine/RequestIdentity.cpp
@@ -1,4 +1,4 @@
-//===- RequestIdentity.cpp - Which requests are the same one ---------------===//
+//===- RequestIdentity.cpp - Digest of a request ---------------------------===//
 #include "pepperlug/Quarantine.h"
 
 namespace pepperlug::fleet
@@ -7,12 +7,12 @@
 namespace
 {
 
-/// 128 bits: to find a request that looks like a given one takes 2^128 trials.
+/// Hexadecimal digits, 128 bits: finding a second request with a given digest takes 2^128 attempts.
 constexpr std::size_t DigestLength = 32;
 
 } // namespace
 
-// Each field goes with its length, or a part of one could pass for the start of the next.
+// Each field is prefixed with its length; otherwise part of one could pass for the start of the next.
 std::string digestOf(const RequestIdentity &identity)
 {
     std::string text;
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -1,4 +1,4 @@
-//===- QuarantineTest.cpp - Requests that end the targets which run them ----------===//
+//===- QuarantineTest.cpp - Requests that crash targets ---------------------------===//
 #include "pepperlug/Quarantine.h"
 
 #include <catch2/catch.hpp>
@@ -21,7 +21,7 @@
     return {"i-" + std::to_string(n), 0ms};
 }
 
-Quarantine withEnds(unsigned count, TimePoint at = Start)
+Quarantine quarantineWithCrashes(unsigned count, TimePoint at = Start)
 {
     Quarantine quarantine;
     for (unsigned n = 0; n < count; ++n) {
@@ -30,8 +30,8 @@
     return quarantine;
 }
 
-/// Everything that one host knows goes to another one.
-void tellAll(const Quarantine &from, Quarantine &to, TimePoint now = Start)
+/// Merges all reports of one host into the table of another.
+void mergeAll(const Quarantine &from, Quarantine &to, TimePoint now = Start)
 {
     for (const SuspectReport &it : from.changedSince(0, NewsReader::ControlHost, now)) {
         to.merge(it, false, now);
@@ -40,69 +40,69 @@
 
 } // namespace
 
-TEST_CASE("a request is suspected at the second end under it and shut out at the third")
+TEST_CASE("a request is suspected at the second crash and quarantined at the third")
 {
     Quarantine quarantine;
     CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Free);
     CHECK(quarantine.recordCrash(Digest, target(1), Start));
     CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Free);
-    CHECK_FALSE(quarantine.recordCrash(Digest, target(1), Start + 1s)); // another try of it was at the same end
+    CHECK_FALSE(quarantine.recordCrash(Digest, target(1), Start + 1s)); // another try was present at the same crash
     CHECK(quarantine.recordCrash(Digest, target(2), Start));
     CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Suspected);
-    CHECK(quarantine.recordCrash(Digest, {"i-2", 5ms}, Start)); // the next life under the same id
+    CHECK(quarantine.recordCrash(Digest, {"i-2", 5ms}, Start)); // the next incarnation under the same id
     CHECK(quarantine.statusOf(Digest, Start) == QuarantineStatus::Quarantined);
     CHECK(quarantine.statusOf("another", Start) == QuarantineStatus::Free);
     CHECK(quarantine.quarantinedCount() == 1);
 }
 
-TEST_CASE("ends that several hosts saw add up, each once, in whatever order they are told")
+TEST_CASE("crashes that several hosts detected add up, each counted once, in any order of reports")
 {
     rc::check([] {
         const auto hosts = *rc::gen::inRange<std::size_t>(2, 5);
         std::vector<Quarantine> known(hosts);
-        std::set<unsigned> ended;
+        std::set<unsigned> crashed;
         for (const unsigned n : *rc::gen::container<std::vector<unsigned>>(rc::gen::inRange(0U, 5U))) {
             known[*rc::gen::inRange<std::size_t>(0, hosts)].recordCrash(Digest, target(n), Start);
-            ended.insert(n);
-            tellAll(known[*rc::gen::inRange<std::size_t>(0, hosts)], known[*rc::gen::inRange<std::size_t>(0, hosts)]);
+            crashed.insert(n);
+            mergeAll(known[*rc::gen::inRange<std::size_t>(0, hosts)], known[*rc::gen::inRange<std::size_t>(0, hosts)]);
         }
         for (std::size_t round = 0; round < 2; ++round) {
             for (std::size_t from = 0; from < hosts; ++from) {
                 for (Quarantine &to : known) {
-                    tellAll(known[from], to);
+                    mergeAll(known[from], to);
                 }
             }
         }
         for (const Quarantine &it : known) {
-            RC_ASSERT(it.crashCount(Digest) == ended.size());
+            RC_ASSERT(it.crashCount(Digest) == crashed.size());
         }
     });
 }
 
-TEST_CASE("what is known everywhere already is no change, so telling it ends")
+TEST_CASE("a report of what is known everywhere is no change, so the exchange of reports terminates")
 {
-    Quarantine one = withEnds(20);
-    Quarantine other = withEnds(20, Start + 1s);
+    Quarantine one = quarantineWithCrashes(20);
+    Quarantine other = quarantineWithCrashes(20, Start + 1s);
     for (int round = 0; round < 10; ++round) {
-        tellAll(one, other);
-        tellAll(other, one);
+        mergeAll(one, other);
+        mergeAll(other, one);
     }
     const std::uint64_t before = one.version() + other.version();
-    tellAll(one, other);
-    tellAll(other, one);
+    mergeAll(one, other);
+    mergeAll(other, one);
     CHECK(one.version() + other.version() == before);
 }
 
-TEST_CASE("an answer excuses the ends before it, at all hosts, and none after it")
+TEST_CASE("an answer excuses the crashes before it, at all hosts, and none after it")
 {
-    Quarantine here = withEnds(3);
-    Quarantine there = withEnds(3);
+    Quarantine here = quarantineWithCrashes(3);
+    Quarantine there = quarantineWithCrashes(3);
     CHECK(here.recordAnswer(Digest));
     CHECK_FALSE(here.recordAnswer(Digest));
     CHECK(here.statusOf(Digest, Start) == QuarantineStatus::Free);
-    tellAll(here, there);
+    mergeAll(here, there);
     CHECK(there.statusOf(Digest, Start) == QuarantineStatus::Free);
-    tellAll(withEnds(3), there); // by a host that has not heard of the answer
+    mergeAll(quarantineWithCrashes(3), there); // by a host that has not received the answer
     CHECK(there.statusOf(Digest, Start) == QuarantineStatus::Free);
     for (unsigned n = 10; n < 13; ++n) {
         there.recordCrash(Digest, target(n), Start);
@@ -110,11 +110,10 @@
     CHECK(there.statusOf(Digest, Start) == QuarantineStatus::Quarantined);
 }
 
-TEST_CASE(
-    "entry hosts are told of what is suspected, also that it is free again; control hosts of what they have not seen")
+TEST_CASE("entry hosts receive suspected requests, also when they are free again; control hosts receive what they lack")
 {
     using Reader = NewsReader;
-    Quarantine quarantine = withEnds(1);
+    Quarantine quarantine = quarantineWithCrashes(1);
     CHECK(quarantine.changedSince(0, Reader::EntryHost, Start).empty());
     CHECK(quarantine.changedSince(0, Reader::ControlHost, Start).size() == 1);
     quarantine.recordCrash(Digest, target(7), Start);
@@ -124,17 +123,17 @@
     CHECK_FALSE(quarantine.hasChangedSince(version, Reader::EntryHost));
     quarantine.recordAnswer(Digest);
     CHECK(quarantine.changedSince(version, Reader::EntryHost, Start).size() == 1);
-    // What a control host was told by another one it tells entry hosts, and no third one.
+    // A control host passes what it received from another one on to entry hosts, and to no third control host.
     Quarantine second;
-    tellAll(withEnds(3), second);
+    mergeAll(quarantineWithCrashes(3), second);
     CHECK(second.hasChangedSince(0, Reader::EntryHost));
     CHECK_FALSE(second.hasChangedSince(0, Reader::ControlHost));
-    CHECK(second.changedSince(0, Reader::ControlHost, Start).size() == 1); // but whoever knows nothing
+    CHECK(second.changedSince(0, Reader::ControlHost, Start).size() == 1); // except to one that has nothing yet
 }
 
-TEST_CASE("trials come one at a time, at growing pauses, and three at most")
+TEST_CASE("probes are granted one at a time, at growing delays, and three at most")
 {
-    Quarantine quarantine = withEnds(3);
+    Quarantine quarantine = quarantineWithCrashes(3);
     TimePoint now = Start;
     CHECK_FALSE(quarantine.grantProbe(Digest, now + 59s));
     for (const auto pause : {1min, 10min, 100min}) {
@@ -145,7 +144,7 @@
         CHECK(quarantine.grantProbe(Digest, now));
         CHECK_FALSE(quarantine.grantProbe(Digest, now));
         now += 1s;
-        quarantine.recordCrash(Digest, {"of a trial", std::chrono::duration_cast<Milliseconds>(now - Start)}, now);
+        quarantine.recordCrash(Digest, {"of a probe", std::chrono::duration_cast<Milliseconds>(now - Start)}, now);
     }
     CHECK(quarantine.statusOf(Digest, now + 23h) == QuarantineStatus::Quarantined);
     CHECK_FALSE(quarantine.timeUntilProbe(Digest, now));
@@ -154,28 +153,28 @@
     CHECK(quarantine.size() == 0);
 }
 
-TEST_CASE("a trial that was granted elsewhere is known, and none is granted beside it")
+TEST_CASE("a probe that was granted elsewhere is known, and no second one is granted")
 {
-    Quarantine leader = withEnds(3);
-    Quarantine next = withEnds(3);
+    Quarantine leader = quarantineWithCrashes(3);
+    Quarantine next = quarantineWithCrashes(3);
     REQUIRE(leader.grantProbe(Digest, Start + 2min));
-    tellAll(leader, next, Start + 2min);
+    mergeAll(leader, next, Start + 2min);
     CHECK(next.statusOf(Digest, Start + 3min) == QuarantineStatus::Quarantined);
     CHECK_FALSE(next.grantProbe(Digest, Start + 3min));
 }
 
-TEST_CASE("a request under which one target ended is forgotten after a while, one that is shut out is not")
+TEST_CASE("a request that was present at one crash expires after minutes, a quarantined one does not")
 {
-    Quarantine quarantine = withEnds(3);
+    Quarantine quarantine = quarantineWithCrashes(3);
     quarantine.recordCrash("another", target(1), Start);
     quarantine.removeExpired(Start + 11min);
     CHECK(quarantine.size() == 1);
     CHECK(quarantine.crashCount(Digest) == 3);
 }
 
-TEST_CASE("what is kept is bounded, and what is shut out stays longest")
+TEST_CASE("the table is bounded, and quarantined requests stay longest")
 {
-    Quarantine quarantine = withEnds(3);
+    Quarantine quarantine = quarantineWithCrashes(3);
     for (unsigned n = 0; n < 5000; ++n) {
         quarantine.recordCrash("other-" + std::to_string(n), target(n / 10), Start + std::chrono::milliseconds(n));
     }
--- a/unittests/Quarantine/RequestIdentityTest.cpp
+++ b/unittests/Quarantine/RequestIdentityTest.cpp
@@ -1,4 +1,4 @@
-//===- RequestIdentityTest.cpp - Which requests are the same one ---------------===//
+//===- RequestIdentityTest.cpp - Digests of requests ---------------------------===//
 #include "pepperlug/Quarantine.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,7 @@
 {
     const RequestIdentity identity{"POST", "a.example", "/p/x?q=1", "17", "body"};
     CHECK(digestOf(identity) == digestOf(identity));
-    // As any other host, and a later start, has it.
+    // A fixed value, since it must be the same at other hosts and after a restart.
     CHECK(digestOf(identity) == "94ad74b49a340643230acc8aa8ccf25b");
 }
 
