--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -1,9 +1,10 @@
-//===- pepperlug/Backpressure.h - What targets ask of those who send -*- C++ -*-===//
+//===- pepperlug/Backpressure.h - Load signals from targets ------*- C++ -*-===//
 //
-// A target in need names in its answers how many requests a second it takes from
-// all entry hosts together. Every host keeps a table of the limits that are named
-// and tells the others what it heard. One that turns a request away may ask the
-// host that sent it for a rest; one that leaves says so too. Pure: time is passed in.
+// An overloaded target advertises in its answers how many requests a second it
+// takes from all entry hosts together. Every host keeps a table of the advertised
+// limits and reports its changes to the others. A target that rejects a request
+// may ask the host that sent it to back off; one that is about to stop says that
+// it is leaving. Pure: time is passed in.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -13,20 +14,20 @@
 namespace pepperlug::fleet
 {
 
-/// What one answer of a target asks for.
+/// The load signals in one answer of a target.
 struct BackpressureSignal {
-    std::optional<double> rateLimit; ///< requests that it takes from all hosts together; nothing: it names no limit
-    std::optional<std::chrono::duration<double>> backOff; ///< in which it wants nothing from the host that it answered
-    bool isLeaving = false; ///< it is about to end and wants nothing new
-    std::string malformedHeader; ///< header and value that can't be read, shortened; empty: none
+    std::optional<double> rateLimit; ///< requests a second from all hosts together; nothing: not advertised
+    std::optional<std::chrono::duration<double>> backOff; ///< during which the answered host is to send nothing
+    bool isLeaving = false; ///< it is about to stop and takes no new requests
+    std::string malformedHeader; ///< name and value, shortened; empty: none
 };
 
-/// What one host tells another of a target.
+/// The load signals of a target, as one host reports them to another.
 struct BackpressureReport {
     Incarnation target;
-    bool isLimited = false; ///< false: it has stopped to name a limit
-    double rateLimit = 0; ///< the limit
-    Milliseconds age{}; ///< since an answer said so of the limit
+    bool isLimited = false; ///< false: it no longer advertises a limit
+    double rateLimit = 0; ///< requests a second
+    Milliseconds age{}; ///< since an answer confirmed the limit or its absence
     bool isLeaving = false; ///< final for the incarnation
     MSGPACK_DEFINE(target, isLimited, rateLimit, age, isLeaving);
 };
@@ -34,43 +35,43 @@
 class BackpressureTable
 {
 public:
-    /// Takes what a target's answer asks for; `sentAt`: when the request was sent. Returns whether other hosts should
-    /// hear of it at once.
+    /// Records the load signals in a target's answer; `sentAt`: when the request was sent. Returns true if they should
+    /// be reported to other hosts at once.
     bool recordSignal(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt, TimePoint now);
-    /// Takes what another host told. `isDirect`: this host speaks for the other one towards control hosts. Returns
-    /// whether the limit is another one now, or the target leaves.
+    /// Merges a report of another host. `isDirect`: this host passes it on to control hosts on behalf of the other one.
+    /// Returns true if the limit changed or the target is now known to be leaving.
     bool merge(const BackpressureReport &report, bool isDirect, TimePoint now);
-    /// Drops what nothing has said for long; to be called regularly. Returns the targets whose limits are forgotten.
+    /// Removes what no answer has confirmed for long; to be called regularly. Returns the targets whose limits expired.
     std::vector<Incarnation> removeExpired(TimePoint now);
 
-    /// Requests a second; nothing while none is named.
+    /// Returns the advertised limit in requests a second; nothing if there is none.
     std::optional<double> limitOf(const Incarnation &target) const;
     bool isLeaving(const Incarnation &target) const;
-    /// What changed since a version, for a reader; with version 0 all that is known.
+    /// Returns the reports that changed since a version, for a reader; with version 0 all of them.
     std::vector<BackpressureReport> changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const;
     bool hasChangedSince(std::uint64_t version, NewsReader reader) const;
     std::uint64_t version() const;
-    /// Targets that name a limit.
+    /// Returns the number of targets with an advertised limit.
     std::size_t limitedCount() const;
 
 private:
     struct Entry {
         std::optional<double> limit;
-        TimePoint limitSince{}; ///< when this limit was heard first
-        std::optional<TimePoint> leavingSince; ///< when an answer said so first, as known here
-        TimePoint asOf{}; ///< when an answer named it last, or showed that none is named any more
-        unsigned unnamed = 0; ///< answers in a row that name no limit, and came late enough to lift it
-        TimePoint toldAt{}; ///< asOf, as other hosts were told it last
+        TimePoint limitChangedAt{}; ///< when this value was received first
+        std::optional<TimePoint> leavingSince; ///< when this host first learned of it
+        TimePoint confirmedAt{}; ///< last answer that advertised it, or that showed it lifted
+        unsigned answersWithoutLimit = 0; ///< in a row, sent late enough to lift it
+        TimePoint reportedAt{}; ///< confirmedAt as last reported to other hosts
         NewsMark changedAt;
     };
 
-    void setLimit(Entry &entry, std::optional<double> limit, TimePoint asOf, TimePoint now);
-    bool hearLimit(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt, TimePoint now);
-    bool hearLeaving(const Incarnation &target, TimePoint now);
+    void setLimit(Entry &entry, std::optional<double> limit, TimePoint confirmedAt, TimePoint now);
+    bool recordLimit(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt, TimePoint now);
+    bool recordLeaving(const Incarnation &target, TimePoint now);
     bool mergeLimit(const BackpressureReport &report, bool isDirect, TimePoint now);
     bool mergeLeaving(const BackpressureReport &report, bool isDirect, TimePoint now);
-    bool noteUnnamed(Entry &entry, TimePoint now);
-    void noteChange(Entry &entry, bool isDirect);
+    bool countAnswerWithoutLimit(Entry &entry, TimePoint now);
+    void markChanged(Entry &entry, bool isDirect);
 
     std::map<Incarnation, Entry> m_entries;
     NewsVersions m_versions;
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -1,8 +1,8 @@
-//===- Backpressure.cpp - What targets ask for in their answers ------------===//
+//===- Backpressure.cpp - Table of load signals from targets ---------------===//
 //
-// Answers overtake each other, and some targets name their limit in a part of their answers only. So a limit is lifted
-// by answers without one only where their requests were sent well after the limit was named last, and of two limits the
-// lower one holds until an answer came to a request that was sent after the first was known.
+// Answers overtake each other, and some targets advertise their limit in only some of their answers. So answers without
+// a limit lift it only if their requests were sent well after it was last advertised, and of two limits the lower one
+// holds until an answer arrives to a request that was sent after the current one was received.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Backpressure.h"
@@ -16,22 +16,23 @@
 namespace
 {
 
-/// From the last answer that named a limit to the first request whose answer may lift it.
+/// Delay from the last answer that advertised a limit to the first request whose answer counts towards lifting it.
 constexpr std::chrono::seconds LiftDelay{1};
-/// Such answers in a row that lift it.
+/// Number of such answers in a row that lift it.
 constexpr unsigned AnswersToLift = 2;
-/// A limit that no answer has named for longer is forgotten.
-constexpr std::chrono::seconds LimitMemory{30};
-/// Longer than a target takes to end that has said that it leaves.
-constexpr std::chrono::minutes LeavingMemory{10};
-/// Others are told again that a limit is still named; several times within LimitMemory.
-constexpr std::chrono::seconds RenewInterval{5};
-/// A limit that moves by less than this part is not worth a message.
+/// Time after which a limit that no answer has confirmed expires.
+constexpr std::chrono::seconds LimitLifetime{30};
+/// How long a leaving target is remembered: longer than it takes to stop.
+constexpr std::chrono::minutes LeavingLifetime{10};
+/// Interval at which an unchanged limit is reported again, several times within LimitLifetime.
+constexpr std::chrono::seconds ReportInterval{5};
+/// Relative change of a limit below which it is not reported at once.
 constexpr double LimitTolerance = 0.1;
-/// Requests a second that a target gets at least, whatever it names, so that it is heard when it takes more again.
-constexpr double LeastLimit = 0.05;
+/// Lower bound of a limit, in requests a second: some requests must still be sent, since their answers show when the
+/// target takes more again.
+constexpr double MinLimit = 0.05;
 
-bool isAlike(const std::optional<double> &lhs, const std::optional<double> &rhs)
+bool areClose(const std::optional<double> &lhs, const std::optional<double> &rhs)
 {
     if (!lhs || !rhs) {
         return lhs.has_value() == rhs.has_value();
@@ -41,77 +42,77 @@
 
 } // namespace
 
-void BackpressureTable::setLimit(Entry &entry, std::optional<double> limit, TimePoint asOf, TimePoint now)
+void BackpressureTable::setLimit(Entry &entry, std::optional<double> limit, TimePoint confirmedAt, TimePoint now)
 {
     if (entry.limit != limit) {
-        entry.limitSince = now;
+        entry.limitChangedAt = now;
     }
     entry.limit = limit;
-    entry.asOf = asOf;
-    entry.unnamed = 0;
+    entry.confirmedAt = confirmedAt;
+    entry.answersWithoutLimit = 0;
 }
 
-bool BackpressureTable::noteUnnamed(Entry &entry, TimePoint now)
+bool BackpressureTable::countAnswerWithoutLimit(Entry &entry, TimePoint now)
 {
-    if (++entry.unnamed < AnswersToLift) {
+    if (++entry.answersWithoutLimit < AnswersToLift) {
         return false;
     }
     setLimit(entry, std::nullopt, now, now);
-    noteChange(entry, true);
+    markChanged(entry, true);
     return true;
 }
 
-void BackpressureTable::noteChange(Entry &entry, bool isDirect)
+void BackpressureTable::markChanged(Entry &entry, bool isDirect)
 {
-    entry.toldAt = entry.asOf;
+    entry.reportedAt = entry.confirmedAt;
     m_versions.note(entry.changedAt, isDirect, true);
 }
 
 bool BackpressureTable::recordSignal(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt,
                                      TimePoint now)
 {
-    const bool hasLimitNews = hearLimit(target, signal, sentAt, now);
-    return (signal.isLeaving && hearLeaving(target, now)) || hasLimitNews;
+    const bool hasNewLimit = recordLimit(target, signal, sentAt, now);
+    return (signal.isLeaving && recordLeaving(target, now)) || hasNewLimit;
 }
 
-bool BackpressureTable::hearLeaving(const Incarnation &target, TimePoint now)
+bool BackpressureTable::recordLeaving(const Incarnation &target, TimePoint now)
 {
     Entry &entry = m_entries[target];
     if (entry.leavingSince) {
         return false;
     }
     entry.leavingSince = now;
-    noteChange(entry, true);
+    markChanged(entry, true);
     return true;
 }
 
-bool BackpressureTable::hearLimit(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt,
-                                  TimePoint now)
+bool BackpressureTable::recordLimit(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt,
+                                    TimePoint now)
 {
     const auto known = m_entries.find(target);
     if (!signal.rateLimit) {
-        const bool tellsOfLift = known != m_entries.end() && known->second.limit && signal.malformedHeader.empty()
-            && sentAt - known->second.asOf >= LiftDelay;
-        return tellsOfLift && noteUnnamed(known->second, now);
+        const bool countsTowardsLift = known != m_entries.end() && known->second.limit && signal.malformedHeader.empty()
+            && sentAt - known->second.confirmedAt >= LiftDelay;
+        return countsTowardsLift && countAnswerWithoutLimit(known->second, now);
     }
-    double limit = std::max(*signal.rateLimit, LeastLimit);
+    double limit = std::max(*signal.rateLimit, MinLimit);
     Entry &entry = known != m_entries.end() ? known->second : m_entries[target];
     const std::optional<double> before = entry.limit;
-    if (before && sentAt < entry.limitSince) {
+    if (before && sentAt < entry.limitChangedAt) {
         limit = std::min(limit, *before);
     }
     setLimit(entry, limit, now, now);
-    const bool isNew = !isAlike(before, entry.limit);
-    if (isNew || now - entry.toldAt >= RenewInterval) {
-        noteChange(entry, true);
+    const bool isNew = !areClose(before, entry.limit);
+    if (isNew || now - entry.reportedAt >= ReportInterval) {
+        markChanged(entry, true);
     }
     return isNew;
 }
 
 bool BackpressureTable::merge(const BackpressureReport &report, bool isDirect, TimePoint now)
 {
-    const bool hasLimitNews = mergeLimit(report, isDirect, now);
-    return mergeLeaving(report, isDirect, now) || hasLimitNews;
+    const bool hasNewLimit = mergeLimit(report, isDirect, now);
+    return mergeLeaving(report, isDirect, now) || hasNewLimit;
 }
 
 bool BackpressureTable::mergeLeaving(const BackpressureReport &report, bool isDirect, TimePoint now)
@@ -121,45 +122,45 @@
     }
     Entry &entry = m_entries[report.target];
     entry.leavingSince = now;
-    noteChange(entry, isDirect);
+    markChanged(entry, isDirect);
     return true;
 }
 
 bool BackpressureTable::mergeLimit(const BackpressureReport &report, bool isDirect, TimePoint now)
 {
-    const TimePoint asOf = now - report.age;
+    const TimePoint confirmedAt = now - report.age;
     const auto known = m_entries.find(report.target);
     const bool isKnownLimit = known != m_entries.end() && known->second.limit;
-    const bool isOld = known != m_entries.end() && asOf <= known->second.asOf;
-    const bool isReadable = std::isfinite(report.rateLimit) && (!report.isLimited || report.rateLimit > 0);
-    if (isOld || !isReadable || (!report.isLimited && !isKnownLimit)) {
+    const bool isOutdated = known != m_entries.end() && confirmedAt <= known->second.confirmedAt;
+    const bool isValid = std::isfinite(report.rateLimit) && (!report.isLimited || report.rateLimit > 0);
+    if (isOutdated || !isValid || (!report.isLimited && !isKnownLimit)) {
         return false;
     }
     Entry &entry = m_entries[report.target];
     const std::optional<double> before = entry.limit;
-    setLimit(entry, report.isLimited ? std::optional(report.rateLimit) : std::nullopt, asOf, now);
-    const bool isNew = !isAlike(before, entry.limit);
-    if (isNew || asOf - entry.toldAt >= RenewInterval / 2) {
-        noteChange(entry, isDirect);
+    setLimit(entry, report.isLimited ? std::optional(report.rateLimit) : std::nullopt, confirmedAt, now);
+    const bool isNew = !areClose(before, entry.limit);
+    if (isNew || confirmedAt - entry.reportedAt >= ReportInterval / 2) {
+        markChanged(entry, isDirect);
     }
     return before != entry.limit;
 }
 
 std::vector<Incarnation> BackpressureTable::removeExpired(TimePoint now)
 {
-    std::vector<Incarnation> forgotten;
+    std::vector<Incarnation> expired;
     for (auto &[target, entry] : m_entries) {
-        if (entry.limit && now - entry.asOf > LimitMemory) {
+        if (entry.limit && now - entry.confirmedAt > LimitLifetime) {
             entry.limit.reset();
-            forgotten.push_back(target);
+            expired.push_back(target);
         }
     }
     std::erase_if(m_entries, [now](const auto &it) {
         const Entry &entry = it.second;
-        const bool isLeavingKept = entry.leavingSince && now - *entry.leavingSince <= LeavingMemory;
-        return !isLeavingKept && now - entry.asOf > LimitMemory;
+        const bool isLeavingKept = entry.leavingSince && now - *entry.leavingSince <= LeavingLifetime;
+        return !isLeavingKept && now - entry.confirmedAt > LimitLifetime;
     });
-    return forgotten;
+    return expired;
 }
 
 std::optional<double> BackpressureTable::limitOf(const Incarnation &target) const
@@ -180,7 +181,7 @@
     std::vector<BackpressureReport> reports;
     for (const auto &[target, entry] : m_entries) {
         if (version == 0 || entry.changedAt.newestFor(reader) > version) {
-            const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.asOf);
+            const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.confirmedAt);
             reports.push_back(
                 {target, entry.limit.has_value(), entry.limit.value_or(0), age, entry.leavingSince.has_value()});
         }
--- a/unittests/Backpressure/BackpressureSystem.h
+++ b/unittests/Backpressure/BackpressureSystem.h
@@ -1,7 +1,7 @@
-//===- BackpressureSystem.h - Targets that ask for less, over loopback -*- C++ -*-===//
+//===- BackpressureSystem.h - System test of backpressure over loopback -*- C++ -*-===//
 //
-// Three entry hosts, a control host and three targets at the sockets, under requests with affinity keys that come to
-// all entry hosts in turn.
+// Three entry hosts, a control host and three targets, connected by sockets, with requests that carry affinity keys and
+// are sent to all entry hosts in turn.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -26,28 +26,27 @@
         for (unsigned n = 1; n < EntryHosts; ++n) {
             m_entryHosts.push_back(m_system.startEntryHost(n));
         }
-        m_keeper = std::thread([this] { keepTargets(); });
-        REQUIRE(System::eventually([&] { return isEachUsed(); }));
+        m_heartbeatThread = std::thread([this] { sendHeartbeats(); });
+        REQUIRE(System::eventually([&] { return isEachTargetUsed(); }));
     }
 
     ~BackpressureSystem()
     {
         m_stop = true;
-        m_keeper.join();
+        m_heartbeatThread.join();
     }
 
     BackpressureSystem(const BackpressureSystem &) = delete;
     BackpressureSystem &operator=(const BackpressureSystem &) = delete;
 
-    /// Sends requests for a while, to all entry hosts in turn or to the first of them alone. Returns how many
-    /// succeeded.
-    unsigned drive(Duration time, unsigned entryHosts = EntryHosts)
+    /// Sends requests for the given time, in turn to the first `entryHosts` entry hosts. Returns how many succeeded.
+    unsigned sendFor(Duration time, unsigned entryHosts = EntryHosts)
     {
         constexpr auto Pause = 5ms;
         unsigned served = 0;
         const auto end = std::chrono::steady_clock::now() + time;
         while (std::chrono::steady_clock::now() < end) {
-            const Answer answer = sendTo(m_turn++ % entryHosts);
+            const Answer answer = sendTo(m_nextEntryHost++ % entryHosts);
             ++m_sent;
             if (answer.status == 200) {
                 ++served;
@@ -61,11 +60,11 @@
 
     Answer sendTo(unsigned entryHost)
     {
-        constexpr unsigned Keys = 30;
+        constexpr unsigned AffinityKeys = 30;
         const unsigned number = m_requests++;
         const GatewayDaemon &host = entryHost == 0 ? *m_system.gateway : *m_entryHosts[entryHost - 1];
         return m_system.get(host.callersAddress(), "/p/x", "try-" + std::to_string(number),
-                            {{"Cookie", "X-Affinity-Key=" + std::to_string(number % Keys)}});
+                            {{"Cookie", "X-Affinity-Key=" + std::to_string(number % AffinityKeys)}});
     }
 
     FakeTarget &target(std::size_t number)
@@ -78,7 +77,7 @@
         return m_sent;
     }
 
-    /// Answers that drive() got without success, by status and body.
+    /// Returns the unsuccessful answers that sendFor() received, by status and body.
     std::string refusals() const
     {
         std::string text;
@@ -88,18 +87,18 @@
         return text;
     }
 
-    /// Most arrivals in any span of a length, from a moment on.
-    static std::size_t mostIn(const Times &arrivals, Duration span, std::chrono::steady_clock::time_point from)
+    /// Returns the largest number of arrivals in any window of a length that begins at `from` or later.
+    static std::size_t maxInWindow(const Times &arrivals, Duration span, std::chrono::steady_clock::time_point from)
     {
-        std::size_t most = 0;
+        std::size_t max = 0;
         for (auto first = arrivals.begin(); first != arrivals.end(); ++first) {
             if (*first < from) {
                 continue;
             }
             const auto end = std::upper_bound(first, arrivals.end(), *first + span);
-            most = std::max(most, static_cast<std::size_t>(end - first));
+            max = std::max(max, static_cast<std::size_t>(end - first));
         }
-        return most;
+        return max;
     }
 
     static std::size_t countFrom(const Times &arrivals, std::chrono::steady_clock::time_point from)
@@ -108,10 +107,10 @@
     }
 
 private:
-    bool isEachUsed()
+    bool isEachTargetUsed()
     {
-        constexpr unsigned Round = 90;
-        for (unsigned n = 0; n < Round; ++n) {
+        constexpr unsigned WarmUpRequests = 90;
+        for (unsigned n = 0; n < WarmUpRequests; ++n) {
             if (sendTo(n % EntryHosts).status != 200) {
                 return false; // an entry host has no configuration yet
             }
@@ -119,7 +118,7 @@
         return std::all_of(m_targets.begin(), m_targets.end(), [](const auto &it) { return it->runs() > 0; });
     }
 
-    void keepTargets()
+    void sendHeartbeats()
     {
         int sequence = 0;
         while (!m_stop) {
@@ -142,11 +141,11 @@
                                                          std::make_unique<FakeTarget>(idOf(1)),
                                                          std::make_unique<FakeTarget>(idOf(2))};
     std::atomic<unsigned> m_requests{0};
-    unsigned m_turn = 0;
+    unsigned m_nextEntryHost = 0;
     unsigned m_sent = 0;
     std::map<std::string, unsigned> m_refusals;
     std::atomic<bool> m_stop{false};
-    std::thread m_keeper;
+    std::thread m_heartbeatThread;
 };
 
 } // namespace pepperlug::fleet::test
--- a/unittests/Backpressure/BackpressureTableTest.cpp
+++ b/unittests/Backpressure/BackpressureTableTest.cpp
@@ -1,4 +1,4 @@
-//===- BackpressureTableTest.cpp - Limits that targets name, as hosts keep them ---===//
+//===- BackpressureTableTest.cpp - Table of load signals from targets -------------===//
 #include "pepperlug/Backpressure.h"
 
 #include <catch2/catch.hpp>
@@ -13,40 +13,40 @@
 const Incarnation Target{"t1", 1000ms};
 const TimePoint Start{1000s};
 
-BackpressureSignal limitOf(double perSecond)
+BackpressureSignal signalWithLimit(double perSecond)
 {
     BackpressureSignal signal;
     signal.rateLimit = perSecond;
     return signal;
 }
 
-/// An answer that comes 100 ms after its request was sent.
-bool hear(BackpressureTable &table, const BackpressureSignal &signal, TimePoint now)
+/// Records an answer that comes 100 ms after its request was sent.
+bool recordSignal(BackpressureTable &table, const BackpressureSignal &signal, TimePoint now)
 {
     return table.recordSignal(Target, signal, now - 100ms, now);
 }
 
-std::vector<BackpressureReport> allOf(const BackpressureTable &table, TimePoint now)
+std::vector<BackpressureReport> allReports(const BackpressureTable &table, TimePoint now)
 {
     return table.changedSince(0, NewsReader::ControlHost, now);
 }
 
 } // namespace
 
-TEST_CASE("a limit holds until answers to later requests show that it is not named any more")
+TEST_CASE("a limit holds until answers to later requests show that it is no longer advertised")
 {
     BackpressureTable table;
-    CHECK(hear(table, limitOf(2), Start));
+    CHECK(recordSignal(table, signalWithLimit(2), Start));
     CHECK(table.limitOf(Target) == 2.0);
     CHECK(table.limitedCount() == 1);
-    // Answers that may have been made before, and a single one without the limit.
+    // Answers that may have been created before the limit, and a single later one without it.
     CHECK_FALSE(table.recordSignal(Target, {}, Start - 1s, Start + 1500ms));
     CHECK_FALSE(table.recordSignal(Target, {}, Start + 500ms, Start + 1500ms));
-    CHECK_FALSE(hear(table, {}, Start + 1500ms));
-    CHECK_FALSE(hear(table, limitOf(2), Start + 1600ms));
-    CHECK_FALSE(hear(table, {}, Start + 3s));
+    CHECK_FALSE(recordSignal(table, {}, Start + 1500ms));
+    CHECK_FALSE(recordSignal(table, signalWithLimit(2), Start + 1600ms));
+    CHECK_FALSE(recordSignal(table, {}, Start + 3s));
     CHECK(table.limitOf(Target) == 2.0);
-    CHECK(hear(table, {}, Start + 4s));
+    CHECK(recordSignal(table, {}, Start + 4s));
     CHECK_FALSE(table.limitOf(Target));
     CHECK(table.limitedCount() == 0);
 }
@@ -54,26 +54,26 @@
 TEST_CASE("an answer that overtook another one does not raise a limit")
 {
     BackpressureTable table;
-    hear(table, limitOf(8), Start);
-    CHECK(table.recordSignal(Target, limitOf(2), Start + 100ms, Start + 200ms));
-    // Sent before the lower limit was known, so it may have been made before it.
-    CHECK_FALSE(table.recordSignal(Target, limitOf(8), Start + 100ms, Start + 300ms));
+    recordSignal(table, signalWithLimit(8), Start);
+    CHECK(table.recordSignal(Target, signalWithLimit(2), Start + 100ms, Start + 200ms));
+    // Its request was sent before the lower limit was received, so the answer may be older than that limit.
+    CHECK_FALSE(table.recordSignal(Target, signalWithLimit(8), Start + 100ms, Start + 300ms));
     CHECK(table.limitOf(Target) == 2.0);
-    CHECK(table.recordSignal(Target, limitOf(8), Start + 300ms, Start + 400ms));
+    CHECK(table.recordSignal(Target, signalWithLimit(8), Start + 300ms, Start + 400ms));
     CHECK(table.limitOf(Target) == 8.0);
 }
 
-TEST_CASE("a limit that can't be read lifts none, and one of 0 leaves the target to be heard")
+TEST_CASE("a malformed limit lifts none, and with a limit of 0 the target still gets some requests")
 {
     BackpressureTable table;
-    hear(table, limitOf(2), Start);
-    BackpressureSignal unreadable;
-    unreadable.malformedHeader = "limit: x";
+    recordSignal(table, signalWithLimit(2), Start);
+    BackpressureSignal malformed;
+    malformed.malformedHeader = "limit: x";
     for (int n = 0; n < 5; ++n) {
-        CHECK_FALSE(hear(table, unreadable, Start + 2s + n * 1s));
+        CHECK_FALSE(recordSignal(table, malformed, Start + 2s + n * 1s));
     }
     CHECK(table.limitOf(Target) == 2.0);
-    hear(table, limitOf(0), Start + 10s);
+    recordSignal(table, signalWithLimit(0), Start + 10s);
     REQUIRE(table.limitOf(Target));
     CHECK(*table.limitOf(Target) > 0);
     CHECK(*table.limitOf(Target) < 0.1);
@@ -82,42 +82,42 @@
 TEST_CASE("a limit belongs to one incarnation")
 {
     BackpressureTable table;
-    hear(table, limitOf(2), Start);
+    recordSignal(table, signalWithLimit(2), Start);
     CHECK_FALSE(table.limitOf({"t1", 2000ms}));
 }
 
-TEST_CASE("hosts that tell each other what they heard agree, in any order and any number of times")
+TEST_CASE("hosts that exchange reports agree, in any order and any number of times")
 {
     BackpressureTable first;
     BackpressureTable second;
     BackpressureTable control;
-    hear(first, limitOf(2), Start);
-    for (const BackpressureReport &it : allOf(first, Start + 10ms)) {
+    recordSignal(first, signalWithLimit(2), Start);
+    for (const BackpressureReport &it : allReports(first, Start + 10ms)) {
         CHECK(control.merge(it, true, Start + 20ms));
         CHECK_FALSE(control.merge(it, true, Start + 20ms));
     }
-    const auto told = control.changedSince(0, NewsReader::EntryHost, Start + 30ms);
-    REQUIRE(told.size() == 1);
-    CHECK(second.merge(told.front(), false, Start + 40ms));
+    const auto reports = control.changedSince(0, NewsReader::EntryHost, Start + 30ms);
+    REQUIRE(reports.size() == 1);
+    CHECK(second.merge(reports.front(), false, Start + 40ms));
     CHECK(second.limitOf(Target) == 2.0);
-    // What comes from others is not told as its own.
+    // An entry host doesn't report what it received from others.
     CHECK_FALSE(second.hasChangedSince(0, NewsReader::ControlHost));
     CHECK(control.hasChangedSince(0, NewsReader::ControlHost));
 
-    hear(second, {}, Start + 2s);
-    CHECK(hear(second, {}, Start + 3s));
-    for (const BackpressureReport &it : allOf(second, Start + 3s)) {
+    recordSignal(second, {}, Start + 2s);
+    CHECK(recordSignal(second, {}, Start + 3s));
+    for (const BackpressureReport &it : allReports(second, Start + 3s)) {
         CHECK(control.merge(it, true, Start + 3s));
         CHECK(first.merge(it, false, Start + 3s));
     }
     CHECK_FALSE(control.limitOf(Target));
     CHECK_FALSE(first.limitOf(Target));
     // A late copy of the first report changes nothing.
-    CHECK_FALSE(control.merge(told.front(), true, Start + 3s - told.front().age));
+    CHECK_FALSE(control.merge(reports.front(), true, Start + 3s - reports.front().age));
     CHECK_FALSE(control.limitOf(Target));
 }
 
-TEST_CASE("what another host tells wrongly changes nothing")
+TEST_CASE("an invalid report changes nothing")
 {
     BackpressureTable table;
     CHECK_FALSE(table.merge({Target, true, -1, 0ms}, false, Start));
@@ -126,37 +126,37 @@
     CHECK(table.limitedCount() == 0);
 }
 
-TEST_CASE("a limit that is still named is renewed at other hosts, one that nobody names is forgotten")
+TEST_CASE("a limit that is still advertised is reported again, one that no answer confirms expires")
 {
     BackpressureTable table;
-    hear(table, limitOf(2), Start);
-    const std::uint64_t told = table.version();
-    CHECK_FALSE(hear(table, limitOf(2), Start + 1s));
-    CHECK(table.version() == told);
-    CHECK_FALSE(hear(table, limitOf(2.1), Start + 6s));
-    CHECK(table.hasChangedSince(told, NewsReader::ControlHost));
+    recordSignal(table, signalWithLimit(2), Start);
+    const std::uint64_t reportedVersion = table.version();
+    CHECK_FALSE(recordSignal(table, signalWithLimit(2), Start + 1s));
+    CHECK(table.version() == reportedVersion);
+    CHECK_FALSE(recordSignal(table, signalWithLimit(2.1), Start + 6s));
+    CHECK(table.hasChangedSince(reportedVersion, NewsReader::ControlHost));
     CHECK(table.removeExpired(Start + 30s).empty());
     CHECK(table.removeExpired(Start + 40s) == std::vector<Incarnation>{Target});
     CHECK_FALSE(table.limitOf(Target));
 }
 
-TEST_CASE("that a target leaves is told to all, whatever is known of its limit, and kept for its incarnation")
+TEST_CASE("a leaving target is reported to all, whatever its limit, and remembered for its incarnation")
 {
     BackpressureTable table;
-    BackpressureSignal signal = limitOf(2);
+    BackpressureSignal signal = signalWithLimit(2);
     signal.isLeaving = true;
-    CHECK(hear(table, signal, Start));
-    CHECK_FALSE(hear(table, signal, Start + 1s));
+    CHECK(recordSignal(table, signal, Start));
+    CHECK_FALSE(recordSignal(table, signal, Start + 1s));
     CHECK(table.isLeaving(Target));
     CHECK_FALSE(table.isLeaving({"t1", 2000ms}));
     BackpressureTable other;
-    hear(other, limitOf(2), Start + 1s);
-    for (const BackpressureReport &it : allOf(table, Start)) {
+    recordSignal(other, signalWithLimit(2), Start + 1s);
+    for (const BackpressureReport &it : allReports(table, Start)) {
         CHECK(other.merge(it, false, Start + 2s));
         CHECK_FALSE(other.merge(it, false, Start + 2s));
     }
     CHECK(other.isLeaving(Target));
-    // The limit goes, the departure stays until the target has surely ended.
+    // The limit expires; that the target is leaving stays known until it has certainly stopped.
     CHECK(table.removeExpired(Start + 1min) == std::vector<Incarnation>{Target});
     CHECK(table.removeExpired(Start + 1min).empty());
     CHECK(table.isLeaving(Target));
--- a/unittests/Backpressure/LeavingTargetTest.cpp
+++ b/unittests/Backpressure/LeavingTargetTest.cpp
@@ -1,4 +1,4 @@
-//===- LeavingTargetTest.cpp - Targets that say in their answers that they leave ---===//
+//===- LeavingTargetTest.cpp - Targets that report in answers that they leave ---===//
 #include "BackpressureSystem.h"
 
 using namespace pepperlug;
@@ -8,20 +8,20 @@
 namespace
 {
 
-/// From the first answer that says so, until nothing may come any more.
+/// Time from the first answer that reports it until the last request may arrive.
 constexpr auto DrainTime = 2s;
 
 } // namespace
 
-// Guards against requests being sent to a target that has said in an answer that it leaves, while its reports say
-// ready.
-TEST_CASE("a target that says in an answer that it leaves gets nothing more, whatever its reports say")
+// Guards against requests being sent to a target that reported in an answer that it is leaving, while its heartbeats
+// still report it as ready.
+TEST_CASE("a target that reports in an answer that it is leaving gets no more requests, whatever its heartbeats report")
 {
     BackpressureSystem system;
     system.target(0).setAnswerHeaders({{"Server-Leaving", "1"}});
-    const auto told = std::chrono::steady_clock::now();
-    const unsigned served = system.drive(2 * DrainTime);
-    CHECK(BackpressureSystem::countFrom(system.target(0).arrivals(), told + DrainTime) == 0);
+    const auto advertisedAt = std::chrono::steady_clock::now();
+    const unsigned served = system.sendFor(2 * DrainTime);
+    CHECK(BackpressureSystem::countFrom(system.target(0).arrivals(), advertisedAt + DrainTime) == 0);
     INFO(system.refusals());
     CHECK(served == system.sent());
 }
--- a/unittests/Backpressure/RestingTargetTest.cpp
+++ b/unittests/Backpressure/RestingTargetTest.cpp
@@ -1,4 +1,4 @@
-//===- RestingTargetTest.cpp - Targets that turn requests away and ask for a rest ---===//
+//===- RestingTargetTest.cpp - Targets that reject requests and ask for a back-off ---===//
 #include "BackpressureSystem.h"
 
 using namespace pepperlug;
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr auto Rest = 3s;
-/// From the answer that asks for the rest on, requests may still be on their way.
-constexpr auto OnTheirWay = 500ms;
-constexpr std::size_t Allowed = 2; ///< requests in the rest of the time
+constexpr auto BackOff = 3s;
+/// Time after the answer that asks for the back-off in which requests may still be in flight.
+constexpr auto InFlightTime = 500ms;
+constexpr std::size_t MaxArrivals = 2; ///< after InFlightTime, until the back-off ends
 
 void beginShedding(FakeTarget &target)
 {
@@ -21,36 +21,37 @@
 
 } // namespace
 
-// Guards against an entry host sending on to a target that has turned it away and asked for a rest.
-TEST_CASE("a target that turns a request away and asks for a rest gets none from that host meanwhile")
+// Guards against an entry host that goes on sending to a target which rejected a request and asked for a back-off.
+TEST_CASE("a target that rejects a request and asks for a back-off gets none from that host meanwhile")
 {
     BackpressureSystem system;
     const std::size_t before = system.target(0).arrivals().size();
     beginShedding(system.target(0));
-    const unsigned served = system.drive(Rest, 1);
+    const unsigned served = system.sendFor(BackOff, 1);
     const auto arrivals = system.target(0).arrivals();
     REQUIRE(arrivals.size() > before);
-    const auto told = arrivals.at(before);
-    const auto inRest = std::count_if(arrivals.begin(), arrivals.end(),
-                                      [&](const auto &it) { return it >= told + OnTheirWay && it < told + Rest; });
-    CHECK(static_cast<std::size_t>(inRest) <= Allowed);
+    const auto backOffAt = arrivals.at(before);
+    const auto inBackOff = std::count_if(arrivals.begin(), arrivals.end(), [&](const auto &it) {
+        return it >= backOffAt + InFlightTime && it < backOffAt + BackOff;
+    });
+    CHECK(static_cast<std::size_t>(inBackOff) <= MaxArrivals);
     INFO(system.refusals());
     CHECK(served == system.sent());
-    // It is used again once it is well.
+    // It is used again once it accepts requests.
     system.target(0).sheds = false;
     system.target(0).setAnswerHeaders({});
     const int runs = system.target(0).runs();
-    system.drive(Rest, 1);
+    system.sendFor(BackOff, 1);
     CHECK(system.target(0).runs() > runs);
 }
 
-TEST_CASE("while all targets rest a request is refused at once as not run, with the time until one is back")
+TEST_CASE("while all targets back off a request is refused at once as not run, with the time until one is back")
 {
     BackpressureSystem system;
     for (std::size_t n = 0; n < 3; ++n) {
         beginShedding(system.target(n));
     }
-    system.drive(1s, 1);
+    system.sendFor(1s, 1);
     const auto before =
         system.target(0).arrivals().size() + system.target(1).arrivals().size() + system.target(2).arrivals().size();
     const auto sentAt = std::chrono::steady_clock::now();
