--- a/lib/Quota/QuotaSums.cpp
+++ b/lib/Quota/QuotaSums.cpp
@@ -1,4 +1,4 @@
-//===- QuotaSums.cpp - What all hosts are asked for, and may pass ---------===//
+//===- QuotaSums.cpp - Demand and admitted fraction of tenants ------------===//
 #include "pepperlug/Quota.h"
 
 #include <algorithm>
@@ -10,105 +10,109 @@
 namespace
 {
 
-/// Part of its limit from which on hosts are told of a tenant.
-constexpr double NearLimit = 0.5;
-/// Mean time until a change of what is asked has come to control hosts, and of the part to all entry hosts.
+/// Fraction of its limit above which the load of a tenant is advertised to hosts.
+constexpr double NearLimitFraction = 0.5;
+/// Mean time until a change of demand reaches control hosts, and until a change of the admitted fraction reaches all
+/// entry hosts.
 constexpr std::chrono::duration<double> ReactionTime{0.8};
-/// The burst is spent as long as it lasts for so many reaction times more.
-constexpr double Foresight = 2;
-/// In which hosts pass less to make up for what was too much, and the least of the limit's rate that passes meanwhile.
+/// Everything is admitted while the burst lasts for at least this many more reaction times.
+constexpr double BurstReserve = 2;
+/// Time in which hosts admit less to make up for an excess, and the fraction of the limit's rate that is admitted even
+/// then.
 constexpr std::chrono::duration<double> RepayTime{1.0};
-constexpr double LeastRepayingRate = 0.2;
-/// Differences that hosts are told of: of the part that may pass, and of what is asked for.
-constexpr double PartTolerance = 0.05;
-constexpr double AskedTolerance = 0.3;
-/// Between two times that hosts are told of them, unless the part falls below this part of what was told.
-constexpr Milliseconds TellInterval{500};
-constexpr double UrgentPart = 0.9;
+constexpr double MinRepayRate = 0.2;
+/// Relative changes that are reported to hosts: of the admitted fraction, and of the demand.
+constexpr double FractionTolerance = 0.05;
+constexpr double DemandTolerance = 0.3;
+/// Interval between two reports to hosts, unless the admitted fraction falls below this fraction of the reported one.
+constexpr Milliseconds ReportInterval{500};
+constexpr double UrgentFraction = 0.9;
 
 } // namespace
 
-// The burst is used up before anything is refused, but for what still comes until the hosts hear that it is.
-double QuotaAggregator::partOf(const TenantLimit &limit, double asked, double level)
+// The burst is used up before anything is refused, except for what still arrives until hosts know that it is.
+double QuotaAggregator::fractionToAdmit(const TenantLimit &limit, double demand, double level)
 {
-    const double excess = asked - limit.perSecond;
-    const bool hasBurst = level >= 0 && level > excess * ReactionTime.count() * Foresight;
-    if (asked <= 0 || hasBurst) {
+    const double excess = demand - limit.perSecond;
+    const bool hasBurst = level >= 0 && level > excess * ReactionTime.count() * BurstReserve;
+    if (demand <= 0 || hasBurst) {
         return 1;
     }
     const double repaid = std::min(0.0, level) / RepayTime.count();
-    const double rate = std::max(limit.perSecond * LeastRepayingRate, limit.perSecond + repaid);
-    return std::min(1.0, rate / asked);
+    const double rate = std::max(limit.perSecond * MinRepayRate, limit.perSecond + repaid);
+    return std::min(1.0, rate / demand);
 }
 
-void QuotaAggregator::follow(Bucket &bucket, const TenantLimit &limit, double asked,
-                             std::chrono::duration<double> passed)
+void QuotaAggregator::updateBucket(Bucket &bucket, const TenantLimit &limit, double demand,
+                                   std::chrono::duration<double> passed)
 {
-    bucket.partInUse += (bucket.part - bucket.partInUse) * -std::expm1(-passed / ReactionTime);
-    const double gain = (limit.perSecond - asked * bucket.partInUse) * passed.count();
-    const double most = limit.burst;
-    bucket.level = std::clamp(bucket.level + gain, -most, most);
-    bucket.part = partOf(limit, asked, bucket.level);
+    bucket.appliedFraction += (bucket.admittedFraction - bucket.appliedFraction) * -std::expm1(-passed / ReactionTime);
+    const double gain = (limit.perSecond - demand * bucket.appliedFraction) * passed.count();
+    const double maxLevel = limit.burst;
+    bucket.level = std::clamp(bucket.level + gain, -maxLevel, maxLevel);
+    bucket.admittedFraction = fractionToAdmit(limit, demand, bucket.level);
 }
 
-void QuotaAggregator::update(const std::vector<Tenant> &tenants, const std::unordered_map<std::uint64_t, double> &asked,
-                             TimePoint now)
+void QuotaAggregator::update(const std::vector<Tenant> &tenants,
+                             const std::unordered_map<std::uint64_t, double> &demand, TimePoint now)
 {
-    const std::chrono::duration<double> passed = now - m_followedAt.value_or(now);
-    m_followedAt = now;
+    const std::chrono::duration<double> passed = now - m_updatedAt.value_or(now);
+    m_updatedAt = now;
     std::unordered_map<std::uint64_t, Bucket> buckets;
     std::vector<TenantLoad> loads;
     for (const Tenant &tenant : tenants) {
         const std::uint64_t hash = tenantHash(tenant.name);
-        const auto sum = asked.find(hash);
-        if (tenant.limit.perSecond <= 0 || sum == asked.end()) {
+        const auto sum = demand.find(hash);
+        if (tenant.limit.perSecond <= 0 || sum == demand.end()) {
             continue;
         }
-        // A burst of which nothing is known, as after a restart, may have been used up a moment ago.
+        // An unknown burst, as after a restart, is taken for used up, since it may have been a moment ago.
         const auto known = m_buckets.find(hash);
         Bucket bucket = known == m_buckets.end() ? Bucket{} : known->second;
-        follow(bucket, tenant.limit, sum->second, passed);
+        updateBucket(bucket, tenant.limit, sum->second, passed);
         buckets.emplace(hash, bucket);
-        if (sum->second > tenant.limit.perSecond * NearLimit) {
-            loads.push_back({hash, static_cast<float>(sum->second), static_cast<float>(bucket.part)});
+        if (sum->second > tenant.limit.perSecond * NearLimitFraction) {
+            loads.push_back({hash, static_cast<float>(sum->second), static_cast<float>(bucket.admittedFraction)});
         }
     }
     std::ranges::sort(loads, {}, &TenantLoad::tenant);
     m_buckets = std::move(buckets);
     m_loads = std::move(loads);
-    const bool isTold = isUrgent(m_loads) || (now >= m_nextTelling && isWorthTelling(m_loads));
-    if (isTold) {
-        m_toldLoads = m_loads;
-        m_nextTelling = now + TellInterval;
+    const bool isReportDue = isUrgent(m_loads) || (now >= m_nextReport && isWorthReporting(m_loads));
+    if (isReportDue) {
+        m_reportedLoads = m_loads;
+        m_nextReport = now + ReportInterval;
         ++m_version;
     }
 }
 
-// A limit that binds, or binds harder, can't wait: what passes until hosts hear of it is too much.
+// A smaller admitted fraction must be reported at once: what hosts admit until they receive it exceeds the limit.
 bool QuotaAggregator::isUrgent(const std::vector<TenantLoad> &loads) const
 {
-    const auto toldPart = [&](std::uint64_t tenant) {
-        const auto it = std::ranges::lower_bound(m_toldLoads, tenant, {}, &TenantLoad::tenant);
-        return it != m_toldLoads.end() && it->tenant == tenant ? it->admittedFraction : 1;
+    const auto reportedFraction = [&](std::uint64_t tenant) {
+        const auto it = std::ranges::lower_bound(m_reportedLoads, tenant, {}, &TenantLoad::tenant);
+        return it != m_reportedLoads.end() && it->tenant == tenant ? it->admittedFraction : 1;
     };
-    return std::any_of(loads.begin(), loads.end(),
-                       [&](const TenantLoad &it) { return it.admittedFraction < toldPart(it.tenant) * UrgentPart; });
+    return std::any_of(loads.begin(), loads.end(), [&](const TenantLoad &it) {
+        return it.admittedFraction < reportedFraction(it.tenant) * UrgentFraction;
+    });
 }
 
-bool QuotaAggregator::isWorthTelling(const std::vector<TenantLoad> &loads) const
+bool QuotaAggregator::isWorthReporting(const std::vector<TenantLoad> &loads) const
 {
-    return !std::ranges::equal(loads, m_toldLoads, [](const TenantLoad &now, const TenantLoad &told) {
-        const bool isPartAlike =
-            std::abs(now.admittedFraction - told.admittedFraction) <= PartTolerance * told.admittedFraction;
-        const bool isAskedAlike = std::abs(now.perSecond - told.perSecond) <= AskedTolerance * told.perSecond;
-        return now.tenant == told.tenant && isPartAlike && isAskedAlike;
+    return !std::ranges::equal(loads, m_reportedLoads, [](const TenantLoad &current, const TenantLoad &reported) {
+        const bool isFractionClose = std::abs(current.admittedFraction - reported.admittedFraction)
+            <= FractionTolerance * reported.admittedFraction;
+        const bool isDemandClose =
+            std::abs(current.perSecond - reported.perSecond) <= DemandTolerance * reported.perSecond;
+        return current.tenant == reported.tenant && isFractionClose && isDemandClose;
     });
 }
 
 void QuotaAggregator::restore(std::vector<TenantLoad> loads)
 {
     m_loads = std::move(loads);
-    m_toldLoads = m_loads;
+    m_reportedLoads = m_loads;
     ++m_version;
 }
 
--- a/unittests/Quota/EqualShares.h
+++ b/unittests/Quota/EqualShares.h
@@ -1,4 +1,4 @@
-//===- EqualShares.h - The simplest way to keep a limit ---------*- C++ -*-===//
+//===- EqualShares.h - Quota policy with equal shares -----------*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Quota.h"
@@ -8,21 +8,22 @@
 namespace pepperlug::fleet
 {
 
-/// Each host may use the same part of each limit, whatever it is asked for. Needs no word between hosts but their
+/// Each host may use the same fraction of each limit, whatever its demand. Hosts exchange nothing and need only their
 /// number.
 class EqualShares
 {
 public:
     explicit EqualShares(unsigned hosts)
-        : m_part(1.0 / hosts)
+        : m_fraction(1.0 / hosts)
     {
     }
 
     bool admit(const std::string &tenant, const TenantLimit &limit, TimePoint now)
     {
-        const auto [it, isNew] = m_tokens.try_emplace(tenant, limit.burst * m_part, now);
+        const auto [it, isNew] = m_tokens.try_emplace(tenant, limit.burst * m_fraction, now);
         auto &[tokens, at] = it->second;
-        tokens = std::min(std::max(1.0, limit.burst * m_part), tokens + limit.perSecond * m_part * secondsOf(now - at));
+        tokens = std::min(std::max(1.0, limit.burst * m_fraction),
+                          tokens + limit.perSecond * m_fraction * secondsOf(now - at));
         at = now;
         if (tokens < 1) {
             return false;
@@ -58,8 +59,8 @@
     }
 
 private:
-    double m_part;
-    std::map<std::string, std::pair<double, TimePoint>> m_tokens; ///< by tenant: tokens, and as of when
+    double m_fraction;
+    std::map<std::string, std::pair<double, TimePoint>> m_tokens; ///< by tenant: tokens, time of refill
 };
 static_assert(QuotaPolicy<EqualShares>);
 
--- a/unittests/Quota/QuotaNetwork.h
+++ b/unittests/Quota/QuotaNetwork.h
@@ -1,9 +1,9 @@
-//===- QuotaNetwork.h - Limits of tenants over a drawn network --*- C++ -*-===//
+//===- QuotaNetwork.h - Limits of tenants in a simulated network *- C++ -*-===//
 //
-// Entry hosts of some policy, control hosts that add up what they are told, and
-// callers of one tenant. News takes its time, hosts are cut off, end and start
-// again, callers crowd, move and repeat. Counts what passed in each window and
-// what was refused although the tenant was within its limit.
+// Entry hosts with some policy, control hosts that aggregate the demand, and
+// callers of one tenant. Messages have a latency, hosts are partitioned, crash and
+// restart, callers send bursts, move and retry. Counts the requests admitted in
+// each window and those refused although the tenant was within its limit.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -21,40 +21,40 @@
 
 using namespace std::chrono_literals;
 
-/// How a drawn time goes on.
+/// Parameters and events of a simulation.
 struct QuotaPlan {
     unsigned entryHosts = 66;
     unsigned controlHosts = 6;
     TenantLimit limit{40, 40};
-    double perSecond = 25; ///< requests
-    unsigned hostsInUse = 66; ///< that the tenant's callers come to
+    double perSecond = 25; ///< requests a second
+    unsigned hostsInUse = 66; ///< those that the tenant's callers send to
     Duration length = 40s;
     std::uint64_t seed = 1;
-    QuotaTolerance terms{5s, 0.1, 20};
-
-    // What happens; a time of 0 for nothing.
-    Duration crowdAt{}; ///< from then on, for 3 s
-    double crowdFactor = 1; ///< so many times the requests come
-    Duration shiftAt{}; ///< half of the callers move to other hosts
-    Duration lowerAt{}; ///< the limit is lowered
-    TenantLimit lowered{};
-    Duration cutAt{}; ///< a part of the entry hosts, and of the control hosts, can't reach the others
-    Duration cutFor{};
-    double cutPart = 0.5;
-    Duration killAt{}; ///< all hosts end at once, and start again 1 s later
+    QuotaTolerance tolerance{5s, 0.1, 20};
+
+    // Events, by time since the start; 0 for none.
+    Duration burstAt{}; ///< a burst of 3 s begins
+    double burstFactor = 1; ///< factor on the request rate in the burst
+    Duration moveCallersAt{}; ///< half of the callers move to other hosts
+    Duration lowerLimitAt{}; ///< the limit is lowered
+    TenantLimit loweredLimit{};
+    Duration partitionAt{}; ///< a fraction of the entry and control hosts is cut off from the others
+    Duration partitionLength{};
+    double partitionFraction = 0.5;
+    Duration restartAllAt{}; ///< all hosts crash at once and start again 1 s later
     Duration restartInterval{}; ///< between two restarts of entry hosts
 };
 
-/// What came of it.
+/// Result of a simulation.
 struct QuotaOutcome {
-    double mostOver = 0; ///< largest excess over what the bound allows in a window; at most 0 if it was kept
-    unsigned asked = 0;
-    unsigned passed = 0;
-    unsigned owed = 0; ///< tries that one host would pass which saw all of them
+    double maxExcess = 0; ///< over the bound, in any window; at most 0 if the bound was kept
+    unsigned requests = 0;
+    unsigned admitted = 0;
+    unsigned allowed = 0; ///< requests that a single host which received them all would admit
 
-    unsigned falselyRefused() const
+    unsigned wronglyRefused() const
     {
-        return owed - std::min(owed, passed);
+        return allowed - std::min(allowed, admitted);
     }
 };
 
@@ -88,45 +88,45 @@
     {
         const TimePoint end = m_start + m_plan.length;
         for (m_now = m_start; m_now < end; m_now += Step) {
-            happen();
-            callersAsk();
-            hostsTalk();
+            applyEvents();
+            sendRequests();
+            exchangeUpdates();
         }
-        m_outcome.mostOver = mostOver();
+        m_outcome.maxExcess = maxExcess();
         return m_outcome;
     }
 
 private:
     static constexpr Duration Step = 10ms;
-    static constexpr Duration AskInterval = 500ms; ///< between two asks of an entry host at its control host
-    static constexpr Duration SurgeInterval = 200ms; ///< the same, where a tenant's requests have grown
-    static constexpr Duration PeerInterval = 300ms; ///< between two of a control host at another one
-    static constexpr Duration Way = 40ms;
+    static constexpr Duration PollInterval = 500ms; ///< between two polls of a control host by an entry host
+    static constexpr Duration SurgePollInterval = 200ms; ///< the same, when a tenant's demand has surged
+    static constexpr Duration PeerPollInterval = 300ms; ///< between two polls of control hosts by each other
+    static constexpr Duration Latency = 40ms;
     static constexpr Duration DownTime = 1s;
-    /// What a host forgets that it has not heard from.
-    static constexpr Duration Hold = QuotaHoldTime;
+    /// Age at which the demand reported by an entry host expires.
+    static constexpr Duration HoldTime = QuotaHoldTime;
 
     struct Entry {
-        std::optional<Policy> policy; ///< nothing: it is down
-        unsigned life = 0;
-        unsigned control = 0; ///< that it follows
-        TimePoint nextAsk{};
+        std::optional<Policy> policy; ///< nothing: the host is down
+        unsigned incarnation = 0;
+        unsigned control = 0; ///< that it polls
+        TimePoint nextPoll{};
         TimePoint startsAt{};
     };
 
-    struct Heard {
+    struct DemandReport {
         double perSecond = 0;
-        unsigned life = 0;
+        unsigned incarnation = 0;
         TimePoint at{};
     };
 
     struct Control {
-        QuotaAggregator sums;
-        std::map<unsigned, Heard> heard; ///< by entry host
+        QuotaAggregator aggregator;
+        std::map<unsigned, DemandReport> reports; ///< by entry host
         TimePoint startedAt{};
-        TimePoint nextPeer{};
+        TimePoint nextPeerPoll{};
         bool isUp = true;
-        std::vector<TenantLoad> disk;
+        std::vector<TenantLoad> storedLoads;
     };
 
     bool happensAt(Duration when) const
@@ -134,31 +134,29 @@
         return when > Duration(0) && m_now >= m_start + when && m_now < m_start + when + Step;
     }
 
-    bool isCut() const
+    bool isPartitioned() const
     {
-        const Duration since = m_now - m_start - m_plan.cutAt;
-        return m_plan.cutAt > Duration(0) && since >= Duration(0) && since < m_plan.cutFor;
+        const Duration since = m_now - m_start - m_plan.partitionAt;
+        return m_plan.partitionAt > Duration(0) && since >= Duration(0) && since < m_plan.partitionLength;
     }
 
-    bool isBehindCut(unsigned n, std::size_t count) const
+    bool isCutOff(unsigned n, std::size_t count) const
     {
-        return isCut() && n < static_cast<double>(count) * m_plan.cutPart;
+        return isPartitioned() && n < static_cast<double>(count) * m_plan.partitionFraction;
     }
 
     bool reaches(unsigned entry, unsigned control) const
     {
-        return m_controls[control].isUp
-            && isBehindCut(entry, m_entries.size()) == isBehindCut(control, m_controls.size());
+        return m_controls[control].isUp && isCutOff(entry, m_entries.size()) == isCutOff(control, m_controls.size());
     }
 
-    /// A control host that is cut off with fewer than a majority says that it is not sure.
+    /// A control host that reaches no majority answers that it is not current.
     bool isCurrent(unsigned control) const
     {
         std::size_t reached = 0;
         for (unsigned n = 0; n < m_controls.size(); ++n) {
             reached +=
-                m_controls[n].isUp && isBehindCut(n, m_controls.size()) == isBehindCut(control, m_controls.size()) ? 1
-                                                                                                                   : 0;
+                m_controls[n].isUp && isCutOff(n, m_controls.size()) == isCutOff(control, m_controls.size()) ? 1 : 0;
         }
         return m_controls[control].isUp && reached * 2 > m_controls.size();
     }
@@ -166,16 +164,16 @@
     void startEntry(unsigned n)
     {
         Entry &entry = m_entries[n];
-        ++entry.life;
+        ++entry.incarnation;
         entry.policy.emplace(m_makePolicy(n, m_random()));
         entry.control = n % m_plan.controlHosts;
-        entry.nextAsk = m_now + Milliseconds(m_random() % 20);
-        entry.policy->admit(Others, OthersLimit, m_now); // other tenants ask from the first moment on
+        entry.nextPoll = m_now + Milliseconds(m_random() % 20);
+        entry.policy->admit(Others, OthersLimit, m_now); // other tenants send requests from the start
     }
 
-    void happen()
+    void applyEvents()
     {
-        if (happensAt(m_plan.shiftAt)) {
+        if (happensAt(m_plan.moveCallersAt)) {
             std::ranges::shuffle(m_usedHosts, m_random);
             std::vector<unsigned> all(m_entries.size());
             std::iota(all.begin(), all.end(), 0U);
@@ -184,11 +182,11 @@
                 m_usedHosts[n] = all[n];
             }
         }
-        if (happensAt(m_plan.lowerAt)) {
-            m_limit = m_plan.lowered;
+        if (happensAt(m_plan.lowerLimitAt)) {
+            m_limit = m_plan.loweredLimit;
         }
-        if (happensAt(m_plan.killAt)) {
-            killAll();
+        if (happensAt(m_plan.restartAllAt)) {
+            restartAll();
         }
         const bool restarts = m_plan.restartInterval > Duration(0) && m_now >= m_nextRestart;
         if (restarts) {
@@ -204,66 +202,66 @@
         }
     }
 
-    void killAll()
+    void restartAll()
     {
         for (Entry &it : m_entries) {
             it.policy.reset();
             it.startsAt = m_now + DownTime;
         }
         for (Control &it : m_controls) {
-            const std::vector<TenantLoad> disk = it.sums.loads();
+            const std::vector<TenantLoad> storedLoads = it.aggregator.loads();
             it = {};
-            it.sums.restore(disk);
+            it.aggregator.restore(storedLoads);
             it.startedAt = m_now + DownTime;
         }
     }
 
-    void callersAsk()
+    void sendRequests()
     {
-        const Duration sinceCrowd = m_now - m_start - m_plan.crowdAt;
-        const bool isCrowd = m_plan.crowdAt > Duration(0) && sinceCrowd >= Duration(0) && sinceCrowd < 3s;
-        const double mean = m_plan.perSecond * (isCrowd ? m_plan.crowdFactor : 1) * secondsOf(Step);
+        const Duration sinceBurst = m_now - m_start - m_plan.burstAt;
+        const bool isBurst = m_plan.burstAt > Duration(0) && sinceBurst >= Duration(0) && sinceBurst < 3s;
+        const double mean = m_plan.perSecond * (isBurst ? m_plan.burstFactor : 1) * secondsOf(Step);
         const int count = std::poisson_distribution<int>(mean)(m_random);
         m_tokens = std::min(m_limit.burst, m_tokens + m_limit.perSecond * secondsOf(Step));
         for (int n = 0; n < count; ++n) {
-            ask();
+            sendRequest();
         }
     }
 
-    void ask()
+    void sendRequest()
     {
         Entry &entry = m_entries[m_usedHosts[m_random() % m_usedHosts.size()]];
         if (!entry.policy) {
-            return; // its callers find another host later
+            return; // the host is down; its callers find another one later
         }
-        ++m_outcome.asked;
-        const bool isOwed = m_tokens >= 1;
-        m_tokens -= isOwed ? 1 : 0;
-        m_outcome.owed += isOwed ? 1 : 0;
+        ++m_outcome.requests;
+        const bool isAllowed = m_tokens >= 1;
+        m_tokens -= isAllowed ? 1 : 0;
+        m_outcome.allowed += isAllowed ? 1 : 0;
         if (entry.policy->admit(Name, m_limit, m_now)) {
-            ++m_outcome.passed;
-            m_passedAt.push_back(m_now);
+            ++m_outcome.admitted;
+            m_admittedAt.push_back(m_now);
         }
     }
 
-    void hostsTalk()
+    void exchangeUpdates()
     {
-        while (!m_news.empty() && m_news.begin()->first <= m_now) {
-            auto next = m_news.extract(m_news.begin());
+        while (!m_messages.empty() && m_messages.begin()->first <= m_now) {
+            auto next = m_messages.extract(m_messages.begin());
             next.mapped()();
         }
         for (unsigned n = 0; n < m_entries.size(); ++n) {
             Entry &entry = m_entries[n];
-            const bool isHurried =
-                entry.policy && m_now >= entry.nextAsk - AskInterval + SurgeInterval && entry.policy->hasSurged(m_now);
-            if (entry.policy && (isHurried || m_now >= entry.nextAsk)) {
-                askControl(n);
+            const bool pollsEarly = entry.policy && m_now >= entry.nextPoll - PollInterval + SurgePollInterval
+                && entry.policy->hasSurged(m_now);
+            if (entry.policy && (pollsEarly || m_now >= entry.nextPoll)) {
+                pollControlHost(n);
             }
         }
         for (unsigned n = 0; n < m_controls.size(); ++n) {
-            if (m_now >= m_controls[n].nextPeer) {
-                m_controls[n].nextPeer = m_now + PeerInterval;
-                askPeers(n);
+            if (m_now >= m_controls[n].nextPeerPoll) {
+                m_controls[n].nextPeerPoll = m_now + PeerPollInterval;
+                pollPeers(n);
             }
         }
     }
@@ -278,90 +276,90 @@
         return 0;
     }
 
-    void askControl(unsigned n)
+    void pollControlHost(unsigned n)
     {
         Entry &entry = m_entries[n];
-        entry.nextAsk = m_now + AskInterval;
-        const Heard heard{demandOf(entry), entry.life, m_now};
+        entry.nextPoll = m_now + PollInterval;
+        const DemandReport report{demandOf(entry), entry.incarnation, m_now};
         if (!reaches(n, entry.control) || !isCurrent(entry.control)) {
             entry.control = (entry.control + 1) % m_plan.controlHosts;
             return;
         }
-        m_news.emplace(m_now + Way, [this, n, heard, control = entry.control, askedAt = m_now] {
-            hear(m_controls[control], n, heard);
-            follow(m_controls[control]);
-            const std::vector<TenantLoad> loads = m_controls[control].sums.loads();
-            m_news.emplace(m_now + Way, [this, n, loads, askedAt, life = heard.life] {
-                Entry &asker = m_entries[n];
-                if (asker.policy && asker.life == life) {
-                    asker.policy->updateLoads(loads);
-                    asker.policy->recordContact(askedAt);
+        m_messages.emplace(m_now + Latency, [this, n, report, control = entry.control, polledAt = m_now] {
+            merge(m_controls[control], n, report);
+            updateAggregator(m_controls[control]);
+            const std::vector<TenantLoad> loads = m_controls[control].aggregator.loads();
+            m_messages.emplace(m_now + Latency, [this, n, loads, polledAt, incarnation = report.incarnation] {
+                Entry &poller = m_entries[n];
+                if (poller.policy && poller.incarnation == incarnation) {
+                    poller.policy->updateLoads(loads);
+                    poller.policy->recordContact(polledAt);
                 }
             });
         });
     }
 
-    void askPeers(unsigned n)
+    void pollPeers(unsigned n)
     {
         for (unsigned peer = 0; peer < m_controls.size(); ++peer) {
-            const bool isOpen = isBehindCut(n, m_controls.size()) == isBehindCut(peer, m_controls.size());
-            if (peer == n || !isOpen) {
+            const bool isReachable = isCutOff(n, m_controls.size()) == isCutOff(peer, m_controls.size());
+            if (peer == n || !isReachable) {
                 continue;
             }
-            for (const auto &[entry, heard] : m_controls[peer].heard) {
-                hear(m_controls[n], entry, heard);
+            for (const auto &[entry, report] : m_controls[peer].reports) {
+                merge(m_controls[n], entry, report);
             }
         }
     }
 
-    static void hear(Control &control, unsigned entry, const Heard &heard)
+    static void merge(Control &control, unsigned entry, const DemandReport &report)
     {
-        Heard &known = control.heard[entry];
-        if (heard.at >= known.at) {
-            known = heard;
+        DemandReport &known = control.reports[entry];
+        if (report.at >= known.at) {
+            known = report;
         }
     }
 
-    void follow(Control &control)
+    void updateAggregator(Control &control)
     {
         if (m_now - control.startedAt <= NewsLease && control.startedAt > m_start) {
-            return; // it may know a part of the hosts only
+            return; // it may have received reports of only some hosts
         }
-        std::unordered_map<std::uint64_t, double> sums;
-        for (const auto &[entry, heard] : control.heard) {
-            if (m_now - heard.at <= Hold) {
-                sums[tenantHash(Name)] += heard.perSecond;
+        std::unordered_map<std::uint64_t, double> demand;
+        for (const auto &[entry, report] : control.reports) {
+            if (m_now - report.at <= HoldTime) {
+                demand[tenantHash(Name)] += report.perSecond;
             }
         }
         Tenant tenant{Name, {}};
         tenant.limit = m_limit;
-        control.sums.update({tenant}, sums, m_now);
+        control.aggregator.update({tenant}, demand, m_now);
     }
 
-    double mostOver() const
+    double maxExcess() const
     {
-        double most = -1e9;
+        double max = -1e9;
         std::deque<TimePoint> window;
-        const TimePoint settled = m_start + m_plan.lowerAt + m_plan.terms.window + LoweredApplies;
-        const TenantLimit limit = m_plan.lowerAt > Duration(0) ? m_plan.lowered : m_plan.limit;
+        const TimePoint appliesFrom = m_start + m_plan.lowerLimitAt + m_plan.tolerance.window + LoweredLimitDelay;
+        const TenantLimit limit = m_plan.lowerLimitAt > Duration(0) ? m_plan.loweredLimit : m_plan.limit;
         const double bound =
-            (limit.perSecond * secondsOf(m_plan.terms.window) + limit.burst) * (1 + m_plan.terms.excess)
-            + m_plan.terms.slack;
-        for (const TimePoint it : m_passedAt) {
+            (limit.perSecond * secondsOf(m_plan.tolerance.window) + limit.burst) * (1 + m_plan.tolerance.excess)
+            + m_plan.tolerance.slack;
+        for (const TimePoint it : m_admittedAt) {
             window.push_back(it);
-            while (it - window.front() > m_plan.terms.window) {
+            while (it - window.front() > m_plan.tolerance.window) {
                 window.pop_front();
             }
-            const bool counts = m_plan.lowerAt == Duration(0) || it > settled;
+            const bool counts = m_plan.lowerLimitAt == Duration(0) || it > appliesFrom;
             if (counts) {
-                most = std::max(most, static_cast<double>(window.size()) - bound);
+                max = std::max(max, static_cast<double>(window.size()) - bound);
             }
         }
-        return most;
+        return max;
     }
 
-    /// After which hosts go by a changed limit.
-    static constexpr Duration LoweredApplies = 2500ms;
+    /// Time until all hosts apply a changed limit.
+    static constexpr Duration LoweredLimitDelay = 2500ms;
     static constexpr const char *Name = "tenant";
     static constexpr const char *Others = "others";
     static constexpr TenantLimit OthersLimit{1e6, 1e6};
@@ -370,15 +368,15 @@
     MakePolicy m_makePolicy;
     std::mt19937_64 m_random;
     TenantLimit m_limit;
-    double m_tokens; ///< of the limit, as if one host saw all tries
+    double m_tokens; ///< of a single host that receives all requests
     TimePoint m_start{1000s};
     TimePoint m_now = m_start;
     TimePoint m_nextRestart = m_start;
     std::vector<Entry> m_entries;
     std::vector<Control> m_controls;
     std::vector<unsigned> m_usedHosts;
-    std::multimap<TimePoint, std::function<void()>> m_news;
-    std::vector<TimePoint> m_passedAt;
+    std::multimap<TimePoint, std::function<void()>> m_messages;
+    std::vector<TimePoint> m_admittedAt;
     QuotaOutcome m_outcome;
 };
 
