--- a/include/pepperlug/Consensus.h
+++ b/include/pepperlug/Consensus.h
@@ -1,8 +1,8 @@
 //===- pepperlug/Consensus.h - The replicated control log --------*- C++ -*-===//
 //
-// The part of a control host that agrees on the order of decisions: terms,
-// votes with a pre-vote, a leader lease, replication, snapshots, and members
-// that are replaced one at a time. Pure: a reducer with effects as data.
+// Consensus among control hosts on the order of commands: terms, votes with a
+// pre-vote, a leader lease, replication, snapshots, and changes of one member at
+// a time. Pure: a reducer with effects as data.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -16,13 +16,13 @@
 namespace pepperlug
 {
 
-/// One control host as the log knows it. The disk id is drawn when a data folder is made, so a machine whose disk was
-/// lost is told apart from the voter that it was.
+/// A control host in the replicated list of members. The disk id is generated when a data folder is created, so that a
+/// host which lost its disk is not taken for the voter that it was.
 struct ControlMember {
     std::string name;
     std::string diskId;
     bool voter = true;
-    std::string zone = {}; ///< empty where members are fixed by settings
+    std::string zone = {}; ///< empty if the settings list the members
     MSGPACK_DEFINE(name, diskId, voter, zone);
     bool operator==(const ControlMember &) const = default;
 };
@@ -42,7 +42,7 @@
     bool operator==(const LogEntry &) const = default;
 };
 
-/// What must be synced before a vote or an acknowledgement goes out.
+/// State that must be synced to disk before a vote or an acknowledgement is sent.
 struct HardState {
     std::uint64_t term = 0;
     std::string votedFor;
@@ -60,7 +60,7 @@
 
 //===-- Messages between control hosts ---------------------------------------===//
 
-/// Who sends; every message carries it.
+/// Sender of a message, part of every message.
 struct ControlSender {
     std::string name;
     std::string diskId;
@@ -79,14 +79,14 @@
 struct VoteReply {
     ControlSender sender;
     bool isPreVote = false;
-    std::uint64_t requestedTerm = 0; ///< term for which the vote was asked
+    std::uint64_t requestedTerm = 0; ///< for which the vote was requested
     bool granted = false;
     MSGPACK_DEFINE(sender, isPreVote, requestedTerm, granted);
 };
 
 struct AppendRequest {
     ControlSender sender;
-    std::uint64_t round = 0; ///< of the leader's heartbeats, for its lease
+    std::uint64_t round = 0; ///< number of the leader's heartbeat, for its lease
     std::uint64_t previousIndex = 0;
     std::uint64_t previousTerm = 0;
     std::uint64_t commit = 0;
@@ -98,7 +98,7 @@
     ControlSender sender;
     std::uint64_t round = 0;
     bool success = false;
-    std::uint64_t matchIndex = 0; ///< with success; otherwise the last index that may match
+    std::uint64_t matchIndex = 0; ///< on success; otherwise the last index that may match
     MSGPACK_DEFINE(sender, round, success, matchIndex);
 };
 
@@ -120,19 +120,19 @@
     ControlMessage message;
 };
 
-/// A command to agree on; `token` finds its fate again.
+/// A command to replicate. `token` identifies it in CommandAppended and CommandRejected.
 struct CommandProposed {
     std::uint64_t token = 0;
     std::string command;
 };
 
-/// The state machine's state as of `index`, which was applied before.
+/// The state of the state machine as of `index`, which must have been applied.
 struct SnapshotTaken {
     std::uint64_t index = 0;
     std::string data;
 };
 
-/// A control host that is not a member asks to become one, first as a learner.
+/// Request of a control host to become a member, first as a learner.
 struct JoinRequested {
     std::string name;
     std::string diskId;
@@ -140,7 +140,7 @@
 };
 using ControlEvent = std::variant<ControlTick, MessageReceived, CommandProposed, SnapshotTaken, JoinRequested>;
 
-/// To be on the disk, synced, before any later effect of the same list is carried out.
+/// Changes that must be synced to disk before any later effect of the same list is carried out.
 struct PersistLog {
     std::optional<HardState> hardState;
     std::optional<std::uint64_t> truncateFrom; ///< drops entries from this index on
@@ -150,8 +150,8 @@
 struct PersistSnapshot {
     LogSnapshot snapshot;
     HardState hardState;
-    std::vector<LogEntry> entriesAfter; ///< what the log holds past the snapshot
-    bool restoresState = false; ///< came from the leader: the state machine has to take it over
+    std::vector<LogEntry> entriesAfter; ///< entries of the log after the snapshot
+    bool restoresState = false; ///< received from the leader; the state machine must load it
 };
 
 struct SendMessage {
@@ -159,12 +159,12 @@
     ControlMessage message;
 };
 
-/// Committed; to be applied to the state machine in order.
+/// A committed entry, to be applied to the state machine in order.
 struct ApplyEntry {
     LogEntry entry;
 };
 
-/// The command is in the log at this place; it is decided when ApplyEntry shows that index with that term.
+/// The leader appended the command at this index. It is committed once ApplyEntry has this index with this term.
 struct CommandAppended {
     std::uint64_t token = 0;
     std::uint64_t index = 0;
@@ -173,7 +173,7 @@
 
 struct CommandRejected {
     std::uint64_t token = 0;
-    std::string leader; ///< where to try instead; empty if not known
+    std::string leader; ///< to send the command to instead; empty if unknown
 };
 
 enum class ControlRole { Follower, PreCandidate, Candidate, Leader };
@@ -192,20 +192,20 @@
 struct ConsensusSettings {
     std::string name;
     std::string diskId;
-    std::vector<ControlMember> members; ///< in force until the log says otherwise
+    std::vector<ControlMember> members; ///< in force until the log has another list
     Duration heartbeat = Milliseconds(100);
-    Duration electionTimeout = Milliseconds(500); ///< shortest; drawn up to twice as long
+    Duration electionTimeout = Milliseconds(500); ///< minimum; a random timeout is up to twice as long
     double driftAllowance = 0.1;
     std::uint64_t seed = 0;
-    /// A silent member whose zone has another member that answers is removed after this time; none: members stay.
+    /// Time after which a silent member is removed if its zone has another one that answers; none: members stay.
     std::optional<Duration> replaceSilentAfter;
 };
 
-/// What the disk held at start.
+/// Contents of the disk at start.
 struct RecoveredLog {
     HardState hardState;
     LogSnapshot snapshot;
-    std::vector<LogEntry> entries; ///< past the snapshot, in order
+    std::vector<LogEntry> entries; ///< after the snapshot, in order
 };
 
 class Consensus
@@ -213,7 +213,7 @@
 public:
     Consensus(ConsensusSettings settings, RecoveredLog recovered, TimePoint now);
 
-    /// Applies one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting effects, in order.
     void reduce(const ControlEvent &event, TimePoint now, ControlEffects &out);
 
     ControlRole role() const;
@@ -222,40 +222,42 @@
     std::uint64_t lastIndex() const;
     const std::string &leader() const;
     const std::vector<ControlMember> &members() const;
-    /// Whether this host is a leader that a majority follows, or lately heard from one and had all that was agreed on.
+    /// Returns true if this host is a leader that holds its lease, or a follower that had all committed entries at a
+    /// recent contact to the leader.
     bool isCurrent(TimePoint now) const;
-    /// Whether this host leads under a lease and has applied all that was agreed before its term.
+    /// Returns true if this host is a leader that holds its lease and has applied all entries committed before its
+    /// term.
     bool canRead(TimePoint now) const;
     bool isVoter() const;
-    /// When a leader was heard last; the start of this process if never.
+    /// Returns the time of the last message from a leader; the start of this process if there was none.
     TimePoint lastLeaderContact() const;
-    /// Until when isCurrent() holds if nothing more is heard.
+    /// Returns the time until which isCurrent() holds without further messages.
     TimePoint currentUntil() const;
 
 private:
     struct Progress {
         std::uint64_t nextIndex = 1;
         std::uint64_t matchIndex = 0;
-        std::string diskId; ///< as the member says itself
+        std::string diskId; ///< as the member itself reports
         std::uint64_t ackedRound = 0;
         TimePoint snapshotSentAt{};
-        TimePoint heardAt{};
+        TimePoint lastContact{};
     };
 
-    void on(const ControlTick &event);
-    void on(const MessageReceived &event);
-    void on(const CommandProposed &event);
-    void on(const SnapshotTaken &event);
-    void on(const JoinRequested &event);
-    void on(const VoteRequest &message);
-    void on(const VoteReply &message);
-    void on(const AppendRequest &message);
-    void on(const AppendReply &message);
-    void on(const SnapshotRequest &message);
+    void handle(const ControlTick &event);
+    void handle(const MessageReceived &event);
+    void handle(const CommandProposed &event);
+    void handle(const SnapshotTaken &event);
+    void handle(const JoinRequested &event);
+    void handle(const VoteRequest &message);
+    void handle(const VoteReply &message);
+    void handle(const AppendRequest &message);
+    void handle(const AppendReply &message);
+    void handle(const SnapshotRequest &message);
 
     void startPreVote();
     void startElection();
-    void askVotes(bool isPreVote, std::uint64_t term);
+    void requestVotes(bool isPreVote, std::uint64_t term);
     void becomeFollower(std::uint64_t term, const std::string &leader);
     void becomeLeader();
     void changeRole(ControlRole role, const std::string &leader);
@@ -271,14 +273,14 @@
     bool canChangeMembers() const;
     void changeMembers(const std::vector<ControlMember> &members);
     void removeReplacedMember();
-    void useMembersOf(const LogEntry &entry);
+    void applyMembersFrom(const LogEntry &entry);
     void reloadMembers();
     bool hasMajority(const std::set<std::string> &names) const;
     bool countsAsVoter(const std::string &name, const std::string &diskId) const;
     const ControlMember *findMember(const std::string &name) const;
     ControlSender sender() const;
     std::uint64_t termAt(std::uint64_t index) const;
-    const LogEntry &at(std::uint64_t index) const;
+    const LogEntry &entryAt(std::uint64_t index) const;
     Duration leaseTime() const;
     void send(const std::string &to, ControlMessage message);
 
@@ -287,23 +289,23 @@
     TimePoint m_now;
     ControlEffects *m_out = nullptr;
 
-    HardState m_hard;
+    HardState m_hardState;
     LogSnapshot m_snapshot;
-    std::vector<LogEntry> m_entries; ///< past the snapshot
+    std::vector<LogEntry> m_entries; ///< after the snapshot
     std::vector<ControlMember> m_members;
     std::uint64_t m_commit = 0;
 
     ControlRole m_role = ControlRole::Follower;
     std::string m_leader;
-    TimePoint m_electionDue{};
-    TimePoint m_leaderHeard{};
-    std::optional<TimePoint> m_caughtUpAt; ///< when this member last had all that its leader told to be agreed on
+    TimePoint m_electionDueAt{};
+    TimePoint m_lastLeaderContact{};
+    std::optional<TimePoint> m_caughtUpAt; ///< when this member last had all that its leader had committed
     std::set<std::string> m_votes;
     std::map<std::string, Progress> m_progress;
     std::uint64_t m_round = 0;
-    std::deque<std::pair<std::uint64_t, TimePoint>> m_rounds; ///< when each heartbeat round was sent
+    std::deque<std::pair<std::uint64_t, TimePoint>> m_rounds; ///< number and send time of recent heartbeat rounds
     TimePoint m_leaseUntil{};
-    TimePoint m_nextHeartbeat{};
+    TimePoint m_nextHeartbeatAt{};
 };
 
 } // namespace pepperlug
--- a/lib/Consensus/Consensus.cpp
+++ b/lib/Consensus/Consensus.cpp
@@ -1,7 +1,7 @@
 //===- Consensus.cpp - State, ticks and commands of the control log -------===//
 //
-// The protocol is a leader-based replicated log with one vote per member and term. Its parts are the project's own
-// work. Elections and replication have files of their own.
+// The protocol is a leader-based replicated log with one vote per member and term, implemented by the project itself.
+// Election.cpp, Replication.cpp and Membership.cpp hold its other parts.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Consensus.h"
@@ -31,12 +31,12 @@
     : m_settings(std::move(settings))
     , m_random(m_settings.seed)
     , m_now(now)
-    , m_hard(std::move(recovered.hardState))
+    , m_hardState(std::move(recovered.hardState))
     , m_snapshot(std::move(recovered.snapshot))
     , m_entries(std::move(recovered.entries))
     , m_commit(m_snapshot.index)
-    // A restarted member forgets whom it heard last, so it must not vote before that leader's lease has run out.
-    , m_leaderHeard(now)
+    // A restarted member has lost the time of its last contact, so it must not vote before that leader's lease expires.
+    , m_lastLeaderContact(now)
 {
     reloadMembers();
     resetElectionTimer();
@@ -46,48 +46,49 @@
 {
     m_now = std::max(m_now, now);
     m_out = &out;
-    std::visit([this](const auto &it) { on(it); }, event);
+    std::visit([this](const auto &it) { handle(it); }, event);
     m_out = nullptr;
 }
 
-void Consensus::on(const ControlTick &)
+void Consensus::handle(const ControlTick &)
 {
     if (m_role == ControlRole::Leader) {
-        // Its heartbeats would keep the few that still hear it from noticing that they are cut off.
+        // Heartbeats of a leader without a majority would keep the few followers that receive them from detecting that
+        // they are cut off.
         if (m_now > m_leaseUntil + m_settings.electionTimeout) {
             resetElectionTimer();
-            becomeFollower(m_hard.term, {});
+            becomeFollower(m_hardState.term, {});
             return;
         }
-        if (m_now >= m_nextHeartbeat) {
+        if (m_now >= m_nextHeartbeatAt) {
             removeReplacedMember();
             replicateAll();
         }
         return;
     }
-    if (m_now >= m_electionDue && isVoter()) {
+    if (m_now >= m_electionDueAt && isVoter()) {
         startPreVote();
     }
 }
 
-void Consensus::on(const MessageReceived &event)
+void Consensus::handle(const MessageReceived &event)
 {
-    std::visit([this](const auto &it) { on(it); }, event.message);
+    std::visit([this](const auto &it) { handle(it); }, event.message);
 }
 
-void Consensus::on(const CommandProposed &event)
+void Consensus::handle(const CommandProposed &event)
 {
     if (m_role != ControlRole::Leader) {
         m_out->emplace_back(CommandRejected{event.token, m_leader});
         return;
     }
     append(EntryKind::Command, event.command);
-    m_out->emplace_back(CommandAppended{event.token, lastIndex(), m_hard.term});
+    m_out->emplace_back(CommandAppended{event.token, lastIndex(), m_hardState.term});
     replicateAll();
     advanceCommit();
 }
 
-void Consensus::on(const SnapshotTaken &event)
+void Consensus::handle(const SnapshotTaken &event)
 {
     if (event.index <= m_snapshot.index || event.index > m_commit) {
         return;
@@ -96,17 +97,17 @@
     snapshot.index = event.index;
     snapshot.term = termAt(event.index);
     snapshot.data = event.data;
-    // Members as of the snapshot: the newest list at or before its index.
+    // The members of the snapshot are the newest list at or before its index.
     snapshot.members = m_snapshot.members.empty() ? m_settings.members : m_snapshot.members;
     for (const LogEntry &entry : m_entries) {
         if (entry.index <= event.index && entry.kind == EntryKind::Members) {
             snapshot.members = decode<std::vector<ControlMember>>(entry.data, m_settings.name);
         }
     }
-    const auto kept = static_cast<std::ptrdiff_t>(event.index - m_snapshot.index);
-    m_entries.erase(m_entries.begin(), m_entries.begin() + kept);
+    const auto compacted = static_cast<std::ptrdiff_t>(event.index - m_snapshot.index);
+    m_entries.erase(m_entries.begin(), m_entries.begin() + compacted);
     m_snapshot = std::move(snapshot);
-    m_out->emplace_back(PersistSnapshot{m_snapshot, m_hard, m_entries, false});
+    m_out->emplace_back(PersistSnapshot{m_snapshot, m_hardState, m_entries, false});
 }
 
 ControlRole Consensus::role() const
@@ -116,7 +117,7 @@
 
 std::uint64_t Consensus::term() const
 {
-    return m_hard.term;
+    return m_hardState.term;
 }
 
 std::uint64_t Consensus::commitIndex() const
@@ -144,7 +145,7 @@
     return countsAsVoter(m_settings.name, m_settings.diskId);
 }
 
-const LogEntry &Consensus::at(std::uint64_t index) const
+const LogEntry &Consensus::entryAt(std::uint64_t index) const
 {
     assert(index > m_snapshot.index && index <= lastIndex() && "an entry outside the log is read");
     return m_entries[index - m_snapshot.index - 1];
@@ -158,11 +159,11 @@
     if (index == m_snapshot.index) {
         return m_snapshot.term;
     }
-    return at(index).term;
+    return entryAt(index).term;
 }
 
-// Half an election timeout less the drift: no other leader can have been elected before that, since members that heard
-// this one lately refuse to vote.
+// An election timeout less the clock drift. No other leader can be elected before that, since members that received a
+// message of this one within an election timeout refuse to vote.
 Duration Consensus::leaseTime() const
 {
     return std::chrono::duration_cast<Duration>(m_settings.electionTimeout * (1 - m_settings.driftAllowance));
@@ -178,18 +179,19 @@
     if (m_role == ControlRole::Leader) {
         return m_leaseUntil;
     }
-    // Who hears a leader but lacks what is agreed on (a slow disk, a start) would have others follow old decisions.
+    // A follower in contact with a leader that lacks committed entries (a slow disk, a start) would have others use
+    // outdated decisions.
     return m_caughtUpAt ? *m_caughtUpAt + leaseTime() : TimePoint{};
 }
 
 bool Consensus::canRead(TimePoint now) const
 {
-    return m_role == ControlRole::Leader && now < m_leaseUntil && termAt(m_commit) == m_hard.term;
+    return m_role == ControlRole::Leader && now < m_leaseUntil && termAt(m_commit) == m_hardState.term;
 }
 
 TimePoint Consensus::lastLeaderContact() const
 {
-    return m_leaderHeard;
+    return m_lastLeaderContact;
 }
 
 const ControlMember *Consensus::findMember(const std::string &name) const
@@ -208,17 +210,17 @@
 bool Consensus::hasMajority(const std::set<std::string> &names) const
 {
     std::size_t voters = 0;
-    std::size_t present = 0;
+    std::size_t votes = 0;
     for (const ControlMember &member : m_members) {
         voters += member.voter ? 1 : 0;
-        present += member.voter && names.contains(member.name) ? 1 : 0;
+        votes += member.voter && names.contains(member.name) ? 1 : 0;
     }
-    return present * 2 > voters;
+    return votes * 2 > voters;
 }
 
 ControlSender Consensus::sender() const
 {
-    return {m_settings.name, m_settings.diskId, m_hard.term};
+    return {m_settings.name, m_settings.diskId, m_hardState.term};
 }
 
 void Consensus::send(const std::string &to, ControlMessage message)
@@ -228,7 +230,7 @@
 
 void Consensus::persistHardState()
 {
-    m_out->emplace_back(PersistLog{m_hard, std::nullopt, {}});
+    m_out->emplace_back(PersistLog{m_hardState, std::nullopt, {}});
 }
 
 void Consensus::persistEntries(std::optional<std::uint64_t> truncateFrom, std::vector<LogEntry> entries)
@@ -238,13 +240,13 @@
 
 void Consensus::append(EntryKind kind, std::string data)
 {
-    LogEntry entry{m_hard.term, lastIndex() + 1, kind, std::move(data)};
+    LogEntry entry{m_hardState.term, lastIndex() + 1, kind, std::move(data)};
     persistEntries(std::nullopt, {entry});
-    useMembersOf(entry);
+    applyMembersFrom(entry);
     m_entries.push_back(std::move(entry));
 }
 
-void Consensus::useMembersOf(const LogEntry &entry)
+void Consensus::applyMembersFrom(const LogEntry &entry)
 {
     if (entry.kind == EntryKind::Members) {
         m_members = decode<std::vector<ControlMember>>(entry.data, m_settings.name);
@@ -255,7 +257,7 @@
 {
     m_members = m_snapshot.members.empty() ? m_settings.members : m_snapshot.members;
     for (const LogEntry &entry : m_entries) {
-        useMembersOf(entry);
+        applyMembersFrom(entry);
     }
 }
 
@@ -263,7 +265,7 @@
 {
     while (m_commit < std::min(index, lastIndex())) {
         ++m_commit;
-        m_out->emplace_back(ApplyEntry{at(m_commit)});
+        m_out->emplace_back(ApplyEntry{entryAt(m_commit)});
     }
 }
 
--- a/lib/Consensus/Election.cpp
+++ b/lib/Consensus/Election.cpp
@@ -1,8 +1,8 @@
 //===- Election.cpp - Votes, pre-votes and roles --------------------------===//
 //
-// A member first asks whether it would be elected (pre-vote), without raising its term; so one that was cut off does
-// not depose a working leader when it comes back. Members that heard a leader within the shortest election timeout
-// refuse both kinds of vote; the leader's lease rests on that.
+// A member first requests pre-votes, without raising its term, to find out whether it would be elected. So a member
+// that was cut off does not depose a working leader when it comes back. Members that received a message from a leader
+// within the minimum election timeout refuse both kinds of vote; the leader's lease depends on that.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Consensus.h"
@@ -13,7 +13,7 @@
 void Consensus::resetElectionTimer()
 {
     const auto shortest = m_settings.electionTimeout.count();
-    m_electionDue = m_now + m_settings.electionTimeout
+    m_electionDueAt = m_now + m_settings.electionTimeout
         + Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(shortest)));
 }
 
@@ -24,20 +24,20 @@
     }
     m_role = role;
     m_leader = leader;
-    m_out->emplace_back(RoleChanged{role, m_hard.term, leader});
+    m_out->emplace_back(RoleChanged{role, m_hardState.term, leader});
 }
 
 void Consensus::becomeFollower(std::uint64_t term, const std::string &leader)
 {
-    if (term > m_hard.term) {
-        m_hard = {term, {}};
+    if (term > m_hardState.term) {
+        m_hardState = {term, {}};
         persistHardState();
     }
     m_progress.clear();
     changeRole(ControlRole::Follower, leader);
 }
 
-void Consensus::askVotes(bool isPreVote, std::uint64_t term)
+void Consensus::requestVotes(bool isPreVote, std::uint64_t term)
 {
     VoteRequest request{sender(), isPreVote, lastIndex(), termAt(lastIndex())};
     request.sender.term = term;
@@ -57,12 +57,12 @@
         startElection();
         return;
     }
-    askVotes(true, m_hard.term + 1);
+    requestVotes(true, m_hardState.term + 1);
 }
 
 void Consensus::startElection()
 {
-    m_hard = {m_hard.term + 1, m_settings.name};
+    m_hardState = {m_hardState.term + 1, m_settings.name};
     persistHardState();
     resetElectionTimer();
     changeRole(ControlRole::Candidate, {});
@@ -71,7 +71,7 @@
         becomeLeader();
         return;
     }
-    askVotes(false, m_hard.term);
+    requestVotes(false, m_hardState.term);
 }
 
 void Consensus::becomeLeader()
@@ -79,25 +79,25 @@
     changeRole(ControlRole::Leader, m_settings.name);
     m_progress.clear();
     m_rounds.clear();
-    m_leaseUntil = m_now; // none yet; a majority has to answer within an election timeout
+    m_leaseUntil = m_now; // no lease yet; a majority must answer within an election timeout
     for (const ControlMember &member : m_members) {
         m_progress[member.name].nextIndex = lastIndex() + 1;
-        m_progress[member.name].heardAt = m_now;
+        m_progress[member.name].lastContact = m_now;
     }
-    // Entries of earlier terms are committed only along with one of this term.
+    // Entries of earlier terms are committed only together with one of this term.
     append(EntryKind::Barrier, {});
     replicateAll();
     advanceCommit();
 }
 
-void Consensus::on(const VoteRequest &message)
+void Consensus::handle(const VoteRequest &message)
 {
     const ControlSender &from = message.sender;
-    const std::uint64_t asked = from.term;
-    VoteReply reply{sender(), message.isPreVote, asked, false};
-    const bool heardLeader = m_now < m_leaderHeard + m_settings.electionTimeout;
-    const bool leads = m_role == ControlRole::Leader && m_now < m_leaseUntil;
-    if (heardLeader || leads || !isVoter() || !countsAsVoter(from.name, from.diskId)) {
+    const std::uint64_t requestedTerm = from.term;
+    VoteReply reply{sender(), message.isPreVote, requestedTerm, false};
+    const bool hasLeaderContact = m_now < m_lastLeaderContact + m_settings.electionTimeout;
+    const bool holdsLease = m_role == ControlRole::Leader && m_now < m_leaseUntil;
+    if (hasLeaderContact || holdsLease || !isVoter() || !countsAsVoter(from.name, from.diskId)) {
         send(from.name, reply);
         return;
     }
@@ -105,18 +105,18 @@
     const bool isUpToDate =
         message.lastTerm > ownLastTerm || (message.lastTerm == ownLastTerm && message.lastIndex >= lastIndex());
     if (message.isPreVote) {
-        reply.granted = isUpToDate && asked > m_hard.term;
+        reply.granted = isUpToDate && requestedTerm > m_hardState.term;
         send(from.name, reply);
         return;
     }
-    if (asked > m_hard.term) {
-        becomeFollower(asked, {});
+    if (requestedTerm > m_hardState.term) {
+        becomeFollower(requestedTerm, {});
     }
-    const bool isRival = m_role == ControlRole::Candidate || m_role == ControlRole::Leader;
-    const bool isFree = m_hard.votedFor.empty() || m_hard.votedFor == from.name;
-    if (asked == m_hard.term && isUpToDate && isFree && !isRival) {
-        if (m_hard.votedFor.empty()) {
-            m_hard.votedFor = from.name;
+    const bool isCompeting = m_role == ControlRole::Candidate || m_role == ControlRole::Leader;
+    const bool isVoteAvailable = m_hardState.votedFor.empty() || m_hardState.votedFor == from.name;
+    if (requestedTerm == m_hardState.term && isUpToDate && isVoteAvailable && !isCompeting) {
+        if (m_hardState.votedFor.empty()) {
+            m_hardState.votedFor = from.name;
             persistHardState();
         }
         reply.granted = true;
@@ -126,10 +126,10 @@
     send(from.name, reply);
 }
 
-void Consensus::on(const VoteReply &message)
+void Consensus::handle(const VoteReply &message)
 {
     const ControlSender &from = message.sender;
-    if (from.term > m_hard.term) {
+    if (from.term > m_hardState.term) {
         becomeFollower(from.term, {});
         return;
     }
@@ -137,7 +137,7 @@
         return;
     }
     if (message.isPreVote) {
-        if (m_role != ControlRole::PreCandidate || message.requestedTerm != m_hard.term + 1) {
+        if (m_role != ControlRole::PreCandidate || message.requestedTerm != m_hardState.term + 1) {
             return;
         }
         m_votes.insert(from.name);
@@ -146,7 +146,7 @@
         }
         return;
     }
-    if (m_role != ControlRole::Candidate || message.requestedTerm != m_hard.term) {
+    if (m_role != ControlRole::Candidate || message.requestedTerm != m_hardState.term) {
         return;
     }
     m_votes.insert(from.name);
--- a/lib/Consensus/Membership.cpp
+++ b/lib/Consensus/Membership.cpp
@@ -1,7 +1,7 @@
-//===- Membership.cpp - Control hosts that come, go and are replaced ------===//
+//===- Membership.cpp - Adding, removing and replacing members ------------===//
 //
-// Members change one at a time, and only while nothing else is undecided, so that each list's majorities overlap with
-// those of the list before. Whoever is new starts without a vote and gets one once it has caught up.
+// Members change one at a time, and only while no entry is uncommitted, so that the majorities of each list overlap
+// with those of the previous one. A new member starts without a vote and gets one once it has caught up.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Consensus.h"
@@ -11,11 +11,11 @@
 namespace pepperlug
 {
 
-// An entry of this term must have been decided before the members may change: until then a list of an earlier leader
-// may still be in doubt.
+// An entry of this term must have been committed before the members may change: until then a list of an earlier leader
+// may still be uncommitted.
 bool Consensus::canChangeMembers() const
 {
-    return m_role == ControlRole::Leader && m_commit == lastIndex() && termAt(m_commit) == m_hard.term;
+    return m_role == ControlRole::Leader && m_commit == lastIndex() && termAt(m_commit) == m_hardState.term;
 }
 
 void Consensus::changeMembers(const std::vector<ControlMember> &members)
@@ -25,11 +25,11 @@
     advanceCommit();
 }
 
-void Consensus::on(const JoinRequested &event)
+void Consensus::handle(const JoinRequested &event)
 {
     const ControlMember *member = findMember(event.name);
     if (!canChangeMembers() || (member != nullptr && member->zone == event.zone)) {
-        return; // a member that lost its disk is noticed by its replies
+        return; // a member that lost its disk is detected by its replies
     }
     std::vector<ControlMember> members = m_members;
     if (member == nullptr) {
@@ -37,15 +37,15 @@
     }
     for (ControlMember &it : members) {
         if (it.name == event.name) {
-            it.zone = event.zone; // founders know each other by name only
+            it.zone = event.zone; // the initial members know each other by name only
         }
     }
     changeMembers(members);
 }
 
-// A member that answers under another disk id than the log knows has lost its disk. Once it has caught up it becomes a
-// voter again in two changes, each of which overlaps with the one before: first its old vote is taken away, then the
-// new one is given.
+// A member that replies with another disk id than that in the log has lost its disk. Once it has caught up it becomes a
+// voter again in two changes, so that the majorities of successive lists overlap: the first removes its old vote, the
+// second grants the new one.
 void Consensus::promoteLearner(const std::string &name)
 {
     const ControlMember *member = findMember(name);
@@ -59,15 +59,15 @@
         if (it.name != name) {
             continue;
         }
-        const bool loseVote = it.voter;
-        it.voter = !loseVote;
+        const bool losesVote = it.voter;
+        it.voter = !losesVote;
         it.diskId = progress.diskId;
     }
     changeMembers(members);
 }
 
-// Nobody says that a machine is gone for good. A successor in the same zone that answers, while the old member has been
-// silent, is taken as the sign; if the old one comes back after all, it joins again.
+// Nothing reports that a machine is lost for good. A silent member is taken for lost if a successor in the same zone
+// answers. If it comes back after all, it joins again.
 void Consensus::removeReplacedMember()
 {
     if (!m_settings.replaceSilentAfter || !canChangeMembers()) {
@@ -75,21 +75,21 @@
     }
     const auto isSilent = [this](const ControlMember &member) {
         return member.name != m_settings.name
-            && m_now > m_progress[member.name].heardAt + *m_settings.replaceSilentAfter;
+            && m_now > m_progress[member.name].lastContact + *m_settings.replaceSilentAfter;
     };
-    const auto hasSuccessor = [&](const ControlMember &gone) {
+    const auto hasSuccessor = [&](const ControlMember &replaced) {
         return std::any_of(m_members.begin(), m_members.end(), [&](const ControlMember &it) {
-            return it.name != gone.name && it.zone == gone.zone && it.voter && !isSilent(it);
+            return it.name != replaced.name && it.zone == replaced.zone && it.voter && !isSilent(it);
         });
     };
-    const auto gone = std::find_if(m_members.begin(), m_members.end(), [&](const ControlMember &it) {
+    const auto replaced = std::find_if(m_members.begin(), m_members.end(), [&](const ControlMember &it) {
         return !it.zone.empty() && isSilent(it) && hasSuccessor(it);
     });
-    if (gone == m_members.end()) {
+    if (replaced == m_members.end()) {
         return;
     }
     std::vector<ControlMember> members = m_members;
-    std::erase_if(members, [&](const ControlMember &it) { return it.name == gone->name; });
+    std::erase_if(members, [&](const ControlMember &it) { return it.name == replaced->name; });
     changeMembers(members);
 }
 
--- a/lib/Consensus/Replication.cpp
+++ b/lib/Consensus/Replication.cpp
@@ -1,7 +1,7 @@
-//===- Replication.cpp - Append, commit, snapshots and new members --------===//
+//===- Replication.cpp - Appending, committing and snapshots --------------===//
 //
-// The leader keeps a lease: it is current only while a majority has acknowledged a heartbeat round that was sent less
-// than the lease time ago. Acknowledgements of members that do not vote count for nothing but their own catching up.
+// The leader holds a lease while a majority has acknowledged a heartbeat round that was sent less than the lease time
+// ago. Acknowledgements of members without a vote only advance their own progress.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Consensus.h"
@@ -18,13 +18,13 @@
 constexpr std::size_t MaxEntriesInMessage = 64;
 constexpr std::size_t MaxBytesInMessage = 4 * 1024 * 1024;
 constexpr std::size_t MaxRoundsKept = 256;
-constexpr auto SnapshotResend = std::chrono::seconds(2);
+constexpr auto SnapshotResendInterval = std::chrono::seconds(2);
 
 } // namespace
 
 void Consensus::replicateAll()
 {
-    m_nextHeartbeat = m_now + m_settings.heartbeat;
+    m_nextHeartbeatAt = m_now + m_settings.heartbeat;
     m_rounds.emplace_back(++m_round, m_now);
     if (m_rounds.size() > MaxRoundsKept) {
         m_rounds.pop_front();
@@ -44,8 +44,8 @@
     Progress &progress = m_progress[to];
     progress.nextIndex = std::clamp<std::uint64_t>(progress.nextIndex, 1, lastIndex() + 1);
     if (progress.nextIndex <= m_snapshot.index) {
-        // The snapshot may be large; it is not sent again with each heartbeat. An empty append keeps the lease.
-        if (m_now < progress.snapshotSentAt + SnapshotResend && progress.snapshotSentAt != TimePoint{}) {
+        // The snapshot may be large, so it is not sent with each heartbeat. An empty append maintains the lease.
+        if (m_now < progress.snapshotSentAt + SnapshotResendInterval && progress.snapshotSentAt != TimePoint{}) {
             send(to, AppendRequest{sender(), m_round, lastIndex(), termAt(lastIndex()), m_commit, {}});
             return;
         }
@@ -59,24 +59,24 @@
         if (request.entries.size() >= MaxEntriesInMessage || bytes > MaxBytesInMessage) {
             break;
         }
-        request.entries.push_back(at(n));
-        bytes += at(n).data.size();
+        request.entries.push_back(entryAt(n));
+        bytes += entryAt(n).data.size();
     }
-    // Taken as received until a reply says otherwise, so that a burst of commands is sent once.
+    // The entries count as received until a reply says otherwise, so that a burst of commands is sent once.
     progress.nextIndex += request.entries.size();
     send(to, std::move(request));
 }
 
-void Consensus::on(const AppendRequest &message)
+void Consensus::handle(const AppendRequest &message)
 {
     const ControlSender &from = message.sender;
     AppendReply reply{sender(), message.round, false, 0};
-    if (from.term < m_hard.term) {
+    if (from.term < m_hardState.term) {
         send(from.name, reply);
         return;
     }
     becomeFollower(from.term, from.name);
-    m_leaderHeard = m_now;
+    m_lastLeaderContact = m_now;
     resetElectionTimer();
     reply.sender = sender();
 
@@ -86,10 +86,10 @@
         return;
     }
     if (message.previousIndex > m_snapshot.index && termAt(message.previousIndex) != message.previousTerm) {
-        // Step back over the whole term that does not match, not entry by entry.
-        const std::uint64_t wrongTerm = termAt(message.previousIndex);
+        // Steps back over the whole conflicting term instead of entry by entry.
+        const std::uint64_t conflictingTerm = termAt(message.previousIndex);
         std::uint64_t index = message.previousIndex;
-        while (index > m_snapshot.index && termAt(index) == wrongTerm) {
+        while (index > m_snapshot.index && termAt(index) == conflictingTerm) {
             --index;
         }
         reply.matchIndex = std::max(index, m_commit);
@@ -97,7 +97,7 @@
         return;
     }
     std::optional<std::uint64_t> truncateFrom;
-    std::vector<LogEntry> fresh;
+    std::vector<LogEntry> newEntries;
     for (const LogEntry &entry : message.entries) {
         if (entry.index <= m_snapshot.index) {
             continue;
@@ -111,16 +111,16 @@
             m_entries.resize(entry.index - m_snapshot.index - 1);
         }
         m_entries.push_back(entry);
-        fresh.push_back(entry);
+        newEntries.push_back(entry);
     }
     if (truncateFrom) {
         reloadMembers();
     }
-    if (!fresh.empty()) {
-        for (const LogEntry &entry : fresh) {
-            useMembersOf(entry);
+    if (!newEntries.empty()) {
+        for (const LogEntry &entry : newEntries) {
+            applyMembersFrom(entry);
         }
-        persistEntries(truncateFrom, std::move(fresh));
+        persistEntries(truncateFrom, std::move(newEntries));
     }
     const std::uint64_t match = message.previousIndex + message.entries.size();
     commitTo(std::min(message.commit, match));
@@ -132,20 +132,20 @@
     send(from.name, reply);
 }
 
-void Consensus::on(const SnapshotRequest &message)
+void Consensus::handle(const SnapshotRequest &message)
 {
     const ControlSender &from = message.sender;
-    if (from.term < m_hard.term) {
+    if (from.term < m_hardState.term) {
         send(from.name, AppendReply{sender(), message.round, false, 0});
         return;
     }
     becomeFollower(from.term, from.name);
-    m_leaderHeard = m_now;
+    m_lastLeaderContact = m_now;
     resetElectionTimer();
     if (message.snapshot.index > m_commit) {
-        const bool keepsTail = message.snapshot.index < lastIndex() && message.snapshot.index >= m_snapshot.index
-            && termAt(message.snapshot.index) == message.snapshot.term;
-        if (keepsTail) {
+        const bool keepsLaterEntries = message.snapshot.index < lastIndex()
+            && message.snapshot.index >= m_snapshot.index && termAt(message.snapshot.index) == message.snapshot.term;
+        if (keepsLaterEntries) {
             const auto covered = static_cast<std::ptrdiff_t>(message.snapshot.index - m_snapshot.index);
             m_entries.erase(m_entries.begin(), m_entries.begin() + covered);
         } else {
@@ -154,19 +154,19 @@
         m_snapshot = message.snapshot;
         m_commit = m_snapshot.index;
         reloadMembers();
-        m_out->emplace_back(PersistSnapshot{m_snapshot, m_hard, m_entries, true});
+        m_out->emplace_back(PersistSnapshot{m_snapshot, m_hardState, m_entries, true});
     }
     send(from.name, AppendReply{sender(), message.round, true, std::max(message.snapshot.index, m_commit)});
 }
 
-void Consensus::on(const AppendReply &message)
+void Consensus::handle(const AppendReply &message)
 {
     const ControlSender &from = message.sender;
-    if (from.term > m_hard.term) {
+    if (from.term > m_hardState.term) {
         becomeFollower(from.term, {});
         return;
     }
-    if (m_role != ControlRole::Leader || from.term < m_hard.term || findMember(from.name) == nullptr) {
+    if (m_role != ControlRole::Leader || from.term < m_hardState.term || findMember(from.name) == nullptr) {
         return;
     }
     Progress &progress = m_progress[from.name];
@@ -176,7 +176,7 @@
         progress.nextIndex = lastIndex() + 1;
     }
     progress.ackedRound = std::max(progress.ackedRound, message.round);
-    progress.heardAt = m_now;
+    progress.lastContact = m_now;
     if (!message.success) {
         const std::uint64_t before = progress.nextIndex;
         progress.nextIndex = std::min(before, std::max(message.matchIndex, progress.matchIndex) + 1);
@@ -196,7 +196,7 @@
 
 void Consensus::advanceCommit()
 {
-    // The lease: the newest round that a majority has acknowledged counts from when it was sent.
+    // The lease starts at the send time of the newest round that a majority has acknowledged.
     for (auto it = m_rounds.rbegin(); it != m_rounds.rend(); ++it) {
         std::set<std::string> acked{m_settings.name};
         for (const auto &[name, progress] : m_progress) {
@@ -209,7 +209,7 @@
             break;
         }
     }
-    for (std::uint64_t index = lastIndex(); index > m_commit && termAt(index) == m_hard.term; --index) {
+    for (std::uint64_t index = lastIndex(); index > m_commit && termAt(index) == m_hardState.term; --index) {
         std::set<std::string> stored{m_settings.name};
         for (const auto &[name, progress] : m_progress) {
             if (progress.matchIndex >= index && countsAsVoter(name, progress.diskId)) {
--- a/unittests/Consensus/ConsensusTest.cpp
+++ b/unittests/Consensus/ConsensusTest.cpp
@@ -1,7 +1,7 @@
-//===- ConsensusTest.cpp - The control log under random schedules ---------===//
+//===- ConsensusTest.cpp - Consensus under random schedules ---------------===//
 //
-// A few members with a disk each and messages that are lost, repeated, delayed and reordered. The disk is part of the
-// model: what a member persisted is what it comes back with.
+// Several members with a disk each, and messages that are lost, duplicated, delayed and reordered. The disk is part of
+// the model: a restarted member has what it persisted before.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Consensus.h"
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// A member with its disk.
+/// A member and its disk.
 struct Member {
     std::string name;
     std::string diskId = "initial";
@@ -29,7 +29,7 @@
     std::uint64_t starts = 0;
 };
 
-struct Letter {
+struct Envelope {
     std::string to;
     ControlMessage message;
 };
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A machine that comes back with an empty disk.
+    /// Restarts a member with an empty disk.
     void replaceDisk(std::size_t n)
     {
         Member &member = m_members[n];
@@ -96,7 +96,7 @@
         member.consensus->reduce(event, now, effects);
         for (std::size_t k = 0; k < effects.size(); ++k) {
             if (k == crashAfter) {
-                member.consensus.reset(); // killed between two steps
+                member.consensus.reset(); // crash between two effects
                 return;
             }
             carryOut(member, effects[k]);
@@ -108,11 +108,11 @@
         reduce(n, ControlTick{});
     }
 
-    void deliver(std::size_t letter, bool keep)
+    void deliver(std::size_t message, bool keep)
     {
-        const Letter it = letters[letter];
+        const Envelope it = inFlight[message];
         if (!keep) {
-            letters.erase(letters.begin() + static_cast<std::ptrdiff_t>(letter));
+            inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(message));
         }
         for (std::size_t n = 0; n < m_members.size(); ++n) {
             if (m_members[n].name == it.to) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Runs with prompt delivery.
+    /// Advances time with prompt delivery of all messages.
     void run(Duration time)
     {
         const TimePoint until = now + time;
@@ -136,7 +136,7 @@
 
     void drain()
     {
-        for (int n = 0; n < 2000 && !letters.empty(); ++n) {
+        for (int n = 0; n < 2000 && !inFlight.empty(); ++n) {
             deliver(0, false);
         }
     }
@@ -190,13 +190,13 @@
     }
 
     TimePoint now{std::chrono::seconds(100)};
-    std::vector<Letter> letters;
+    std::vector<Envelope> inFlight;
     std::map<std::uint64_t, std::string> leaders; ///< by term
     std::map<std::uint64_t, LogEntry> committed; ///< by index, as first applied anywhere
     bool twoLeaders = false;
     bool committedChanged = false;
-    bool appliedBack = false;
-    std::size_t cutOff = SIZE_MAX; ///< sends and gets nothing
+    bool appliedOutOfOrder = false;
+    std::size_t isolated = SIZE_MAX; ///< index of a member that can't send or receive
 
 private:
     void carryOut(Member &member, const ControlEffect &effect)
@@ -212,20 +212,20 @@
             member.hard = it->hardState;
             member.entries = it->entriesAfter;
             if (it->restoresState) {
-                appliedBack |= !member.applied.empty() && member.applied.back().index > it->snapshot.index;
+                appliedOutOfOrder |= !member.applied.empty() && member.applied.back().index > it->snapshot.index;
                 member.applied.clear();
             }
         } else if (const auto *it = std::get_if<SendMessage>(&effect)) {
-            const bool isCut = cutOff < m_members.size()
-                && (m_members[cutOff].name == member.name || m_members[cutOff].name == it->to);
-            if (!isCut) {
-                letters.push_back({it->to, it->message});
+            const bool isDropped = isolated < m_members.size()
+                && (m_members[isolated].name == member.name || m_members[isolated].name == it->to);
+            if (!isDropped) {
+                inFlight.push_back({it->to, it->message});
             }
         } else if (const auto *it = std::get_if<ApplyEntry>(&effect)) {
             const auto [known, isNew] = committed.emplace(it->entry.index, it->entry);
             committedChanged |= !isNew && !(known->second == it->entry);
             const std::uint64_t before = member.applied.empty() ? member.snapshot.index : member.applied.back().index;
-            appliedBack |= it->entry.index <= before && !member.applied.empty();
+            appliedOutOfOrder |= it->entry.index <= before && !member.applied.empty();
             member.applied.push_back(it->entry);
         } else if (const auto *it = std::get_if<RoleChanged>(&effect)) {
             if (it->role == ControlRole::Leader) {
@@ -250,7 +250,7 @@
 
 } // namespace
 
-TEST_CASE("three members elect one leader and agree on commands")
+TEST_CASE("three members elect one leader and commit commands")
 {
     Cluster cluster(3);
     cluster.run(3s);
@@ -264,12 +264,12 @@
     CHECK(cluster.leaders.size() == 1);
 }
 
-TEST_CASE("a leader that is cut off stops being current, and its uncommitted command is gone")
+TEST_CASE("a leader that is cut off stops being current, and its uncommitted command is discarded")
 {
     Cluster cluster(3);
     cluster.run(3s);
     const std::size_t old = *cluster.leader();
-    cluster.cutOff = old;
+    cluster.isolated = old;
     cluster.propose(old, "lost");
     cluster.run(5s);
     CHECK(cluster.member(old).consensus->role() != ControlRole::Leader); // no majority answered it
@@ -279,7 +279,7 @@
     CHECK(*leader != old);
     REQUIRE(cluster.propose(*leader, "kept"));
     cluster.run(1s);
-    cluster.cutOff = SIZE_MAX;
+    cluster.isolated = SIZE_MAX;
     cluster.run(3s);
     for (std::size_t n = 0; n < 3; ++n) {
         CHECK(contains(cluster.commandsAt(n), "kept"));
@@ -294,15 +294,15 @@
     cluster.run(3s);
     const std::size_t leader = *cluster.leader();
     const std::uint64_t term = cluster.member(leader).consensus->term();
-    cluster.cutOff = (leader + 1) % 3;
+    cluster.isolated = (leader + 1) % 3;
     cluster.run(10s);
-    cluster.cutOff = SIZE_MAX;
+    cluster.isolated = SIZE_MAX;
     cluster.run(3s);
     CHECK(cluster.leader() == leader);
     CHECK(cluster.member(leader).consensus->term() == term);
 }
 
-TEST_CASE("a minority changes nothing")
+TEST_CASE("a minority commits nothing")
 {
     Cluster cluster(3);
     cluster.run(3s);
@@ -316,7 +316,7 @@
     CHECK_FALSE(contains(cluster.commandsAt(leader), "alone"));
 }
 
-TEST_CASE("a machine repaired empty gets its vote back only when caught up; then another may be lost")
+TEST_CASE("a member with a replaced disk votes again only once it has caught up; then another one may be lost")
 {
     Cluster cluster(3);
     cluster.run(3s);
@@ -342,7 +342,7 @@
     CHECK(contains(cluster.commandsAt(repaired), "after"));
 }
 
-TEST_CASE("an emptied machine grants no vote: what a majority stored is not voted away")
+TEST_CASE("a member with a replaced disk grants no vote, so entries that a majority stored are not lost")
 {
     Cluster cluster(3);
     cluster.run(3s);
@@ -356,7 +356,7 @@
     cluster.replaceDisk(emptied);
     cluster.restart(behind);
     cluster.run(10s);
-    // The one behind and the emptied one are two of three, yet they may not elect.
+    // The member that is behind and the emptied one are two of three, but must not elect a leader.
     CHECK_FALSE(cluster.leader());
     cluster.restart(leader);
     cluster.run(5s);
@@ -365,7 +365,7 @@
     CHECK_FALSE(cluster.committedChanged);
 }
 
-TEST_CASE("a member that is far behind takes a snapshot")
+TEST_CASE("a member that is far behind receives a snapshot")
 {
     Cluster cluster(3);
     cluster.run(3s);
@@ -403,44 +403,44 @@
     CHECK(cluster.member(follower).consensus->term() == term);
 }
 
-TEST_CASE("random schedules: one leader a term, committed entries never change, applied never goes back")
+TEST_CASE("random schedules: one leader per term, committed entries never change, and are applied in order")
 {
-    const bool holds = rc::check([] {
+    const bool isCorrect = rc::check([] {
         Cluster cluster(*rc::gen::element<std::size_t>(3, 5));
         std::uint64_t commands = 0;
         const int steps = *rc::gen::inRange(50, 1500);
         for (int n = 0; n < steps; ++n) {
-            const auto who = static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(cluster.size())));
+            const auto member = static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(cluster.size())));
             const int action = *rc::gen::inRange(0, 40);
-            if (action < 18 && !cluster.letters.empty()) {
-                const auto letter = static_cast<std::size_t>(
-                    *rc::gen::inRange<int>(0, static_cast<int>(std::min<std::size_t>(cluster.letters.size(), 20))));
-                cluster.deliver(letter, action == 0);
-            } else if (action < 22 && !cluster.letters.empty()) {
-                cluster.letters.erase(cluster.letters.begin());
+            if (action < 18 && !cluster.inFlight.empty()) {
+                const auto message = static_cast<std::size_t>(
+                    *rc::gen::inRange<int>(0, static_cast<int>(std::min<std::size_t>(cluster.inFlight.size(), 20))));
+                cluster.deliver(message, action == 0);
+            } else if (action < 22 && !cluster.inFlight.empty()) {
+                cluster.inFlight.erase(cluster.inFlight.begin());
             } else if (action < 30) {
                 cluster.now += Milliseconds(*rc::gen::inRange(1, 300));
-                cluster.tick(who);
+                cluster.tick(member);
             } else if (action < 34) {
-                cluster.propose(who, "command " + std::to_string(++commands));
+                cluster.propose(member, "command " + std::to_string(++commands));
             } else if (action == 34) {
-                cluster.crash(who);
+                cluster.crash(member);
             } else if (action < 37) {
-                cluster.restart(who);
+                cluster.restart(member);
             } else if (action == 37) {
-                cluster.compact(who);
+                cluster.compact(member);
             } else if (action == 38) {
-                // Killed in the middle of carrying out effects.
+                // Crash while effects are carried out.
                 cluster.now += 700ms;
-                cluster.reduce(who, ControlTick{}, static_cast<std::size_t>(*rc::gen::inRange(0, 4)));
+                cluster.reduce(member, ControlTick{}, static_cast<std::size_t>(*rc::gen::inRange(0, 4)));
             } else {
                 cluster.run(300ms);
             }
             RC_ASSERT(!cluster.twoLeaders);
             RC_ASSERT(!cluster.committedChanged);
-            RC_ASSERT(!cluster.appliedBack);
+            RC_ASSERT(!cluster.appliedOutOfOrder);
         }
-        // When all is well again, all agree on all that was committed.
+        // Without faults, all members agree again on all that was committed.
         for (std::size_t n = 0; n < cluster.size(); ++n) {
             cluster.restart(n);
         }
@@ -453,5 +453,5 @@
         }
         RC_ASSERT(!cluster.committedChanged);
     });
-    CHECK(holds);
+    CHECK(isCorrect);
 }
--- a/unittests/Consensus/MembershipTest.cpp
+++ b/unittests/Consensus/MembershipTest.cpp
@@ -1,6 +1,6 @@
-//===- MembershipTest.cpp - Control hosts that join and are replaced ------===//
+//===- MembershipTest.cpp - Members that join and are replaced ------------===//
 //
-// Members over a network that loses nothing but what is cut on purpose.
+// The network delivers all messages at once, except those of members that a test silences.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Consensus.h"
@@ -18,7 +18,7 @@
 class Group
 {
 public:
-    /// `founders` know each other; later ones know nobody.
+    /// Adds a member. `founders` are the members in its settings; hosts that join later have none.
     void add(const std::string &name, const std::vector<std::string> &founders, const std::string &diskId)
     {
         ConsensusSettings settings;
@@ -38,12 +38,12 @@
         m_silent.insert(name);
     }
 
-    void wake(const std::string &name)
+    void resume(const std::string &name)
     {
         m_silent.erase(name);
     }
 
-    /// Lets time pass; each host that is not a settled member asks to join, as the daemons do.
+    /// Advances time; each host in `joining` requests to join in every step, as the daemons do.
     void run(Duration time, const std::map<std::string, std::pair<std::string, std::string>> &joining = {})
     {
         for (const TimePoint end = now + time; now < end; now += 20ms) {
@@ -118,7 +118,7 @@
 
 } // namespace
 
-TEST_CASE("a host that knows nobody becomes a voter once it has caught up")
+TEST_CASE("a host without members in its settings becomes a voter once it has caught up")
 {
     Group group;
     addFounders(group);
@@ -129,7 +129,7 @@
     CHECK(group.voters() == std::vector<std::string>{"a", "b", "c", "d"});
 }
 
-TEST_CASE("a host that joined counts for the majority, and its loss is borne")
+TEST_CASE("hosts that joined count for the majority, so that the loss of two others is tolerated")
 {
     Group group;
     addFounders(group);
@@ -146,19 +146,19 @@
     CHECK(group.leader() == nullptr);
 }
 
-TEST_CASE("a silent member is removed only where its zone has a successor that answers")
+TEST_CASE("a silent member is removed only if its zone has a successor that answers")
 {
     Group group;
     addFounders(group);
-    const std::string gone = group.voters().front() == group.leader()->leader() ? "b" : "a";
-    const std::string zone = gone == "a" ? "z1" : "z2";
-    group.silence(gone);
+    const std::string removed = group.voters().front() == group.leader()->leader() ? "b" : "a";
+    const std::string zone = removed == "a" ? "z1" : "z2";
+    group.silence(removed);
     group.run(6s);
     CHECK(group.voters() == Founders);
     group.add("n", {}, "disk-n");
     group.run(3s, {{"n", {"disk-n", zone}}});
     const std::vector<std::string> voters = group.voters();
-    CHECK(std::find(voters.begin(), voters.end(), gone) == voters.end());
+    CHECK(std::find(voters.begin(), voters.end(), removed) == voters.end());
     CHECK(std::find(voters.begin(), voters.end(), "n") != voters.end());
     CHECK(voters.size() == 3);
 }
@@ -167,14 +167,14 @@
 {
     Group group;
     addFounders(group);
-    const std::string gone = group.leader()->leader() == "a" ? "b" : "a";
-    const std::string zone = gone == "a" ? "z1" : "z2";
-    group.silence(gone);
+    const std::string removed = group.leader()->leader() == "a" ? "b" : "a";
+    const std::string zone = removed == "a" ? "z1" : "z2";
+    group.silence(removed);
     group.add("n", {}, "disk-n");
     group.run(5s, {{"n", {"disk-n", zone}}});
     REQUIRE(group.voters().size() == 3);
-    group.wake(gone);
-    group.run(3s, {{gone, {"initial", zone}}});
+    group.resume(removed);
+    group.run(3s, {{removed, {"initial", zone}}});
     CHECK(group.voters().size() == 4);
 }
 
@@ -182,18 +182,18 @@
 {
     Group group;
     addFounders(group);
-    const std::string lost = group.leader()->leader() == "a" ? "b" : "a";
-    group.add(lost, {}, "disk-new");
+    const std::string replaced = group.leader()->leader() == "a" ? "b" : "a";
+    group.add(replaced, {}, "disk-new");
     group.run(1s);
     const auto &members = group.leader()->members();
     const auto it =
-        std::find_if(members.begin(), members.end(), [&](const ControlMember &m) { return m.name == lost; });
+        std::find_if(members.begin(), members.end(), [&](const ControlMember &m) { return m.name == replaced; });
     REQUIRE(it != members.end());
     CHECK(it->voter);
     CHECK(it->diskId == "disk-new");
 }
 
-TEST_CASE("a leader may be read from only under its lease and once its term has an entry")
+TEST_CASE("a leader may be read from only while it holds its lease and once its term has an entry")
 {
     Group group;
     addFounders(group);
@@ -202,7 +202,7 @@
     CHECK_FALSE(leader->canRead(group.now + 5s));
 }
 
-TEST_CASE("followers of a leader that lost its majority do not take themselves for current")
+TEST_CASE("followers of a leader that lost its majority are not current")
 {
     Group group;
     addFounders(group);
@@ -223,7 +223,7 @@
     CHECK_FALSE(group.member(follower).isCurrent(group.now));
 }
 
-TEST_CASE("a follower that lacks what its leader told to be agreed on does not take itself for current")
+TEST_CASE("a follower that lacks entries which its leader has committed is not current")
 {
     Group group;
     addFounders(group);
@@ -240,6 +240,6 @@
     }
     CHECK(member.leader() == leader);
     CHECK_FALSE(member.isCurrent(group.now));
-    group.run(1s); // the leader hands on what is missing
+    group.run(1s); // the leader sends the missing entries
     CHECK(member.isCurrent(group.now));
 }
