--- a/include/pepperlug/Control.h
+++ b/include/pepperlug/Control.h
@@ -1,8 +1,9 @@
-//===- pepperlug/Control.h - What the control hosts decide -------*- C++ -*-===//
+//===- pepperlug/Control.h - State machine of the control hosts --*- C++ -*-===//
 //
-// The state machine behind the control log: bundles that were proposed, signed
-// off and put in force, drains, and entry hosts whose slice has passed on. Pure
-// and deterministic: every control host applies the same commands in order.
+// The state machine behind the replicated control log: bundles that are proposed,
+// signed off and put in force, drains, and void entry hosts, whose slices may be
+// taken over. Pure and deterministic: every control host applies the same commands
+// in order.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -14,14 +15,14 @@
 {
 
 enum class CommandKind : std::uint8_t {
-    Propose, ///< a bundle under a version
+    Propose, ///< submits a bundle under a version
     Sign, ///< an operator's sign-off
     Rollout, ///< puts a signed-off bundle in force
     DrainTarget,
     UndrainTarget,
     DrainHost,
     UndrainHost,
-    VoidHost, ///< the leader: this entry host's slice has run out, its zone may take it over
+    VoidHost, ///< by the leader: the host's slice has expired, and its zone may take it over
     UnvoidHost,
 };
 const char *nameOf(CommandKind kind);
@@ -39,7 +40,7 @@
 
 enum class CommandStatus : std::uint8_t {
     Done,
-    AlreadyDone, ///< the same command again: the first answer
+    AlreadyDone, ///< a repeated command, which had its effect the first time
     Conflict, ///< the version is taken by another bundle
     Refused,
 };
@@ -51,18 +52,18 @@
     std::string winnerAuthor;
 };
 
-/// A bundle on its way, or past.
+/// A bundle and its state: proposed, signed, in force or superseded.
 struct BundleRecord {
     std::uint64_t version = 0;
     std::string digest;
     std::string author;
-    std::string text; ///< emptied once a later version is in force
+    std::string text; ///< cleared once a later version is in force
     std::vector<std::string> signers;
-    std::uint64_t inForceIndex = 0; ///< of the log; 0 while not in force
+    std::uint64_t inForceIndex = 0; ///< of the log, of its rollout; 0 before that
     MSGPACK_DEFINE(version, digest, author, text, signers, inForceIndex);
 };
 
-/// What entry hosts have to have in force.
+/// The configuration that entry hosts must have in force.
 struct ConfigState {
     std::uint64_t index = 0; ///< of the last command that changed it
     std::string bundleText;
@@ -81,19 +82,19 @@
 class ControlState
 {
 public:
-    /// Until a bundle is in force, the holders of these keys may propose and sign.
+    /// Until a bundle is in force, the holders of the bootstrap keys may propose and sign.
     explicit ControlState(std::vector<BootstrapKey> bootstrapKeys);
 
     CommandResult apply(const ControlCommand &command, std::uint64_t index);
     std::string snapshot() const;
-    /// Throws Error if the data can't be read.
+    /// Throws Error if the data can't be decoded.
     void restore(const std::string &data);
 
     const ConfigState &config() const;
     const std::map<std::uint64_t, BundleRecord> &bundles() const;
     const BundlePtr &bundle() const;
     std::uint64_t versionInForce() const;
-    /// Key of an operator who may do this kind of thing now; nothing if there is none.
+    /// Returns the public key of an operator who may issue this kind of command now; nothing if there is none.
     std::optional<std::string> keyFor(const std::string &operatorName, CommandKind kind) const;
     unsigned signaturesRequired() const;
 
@@ -101,9 +102,9 @@
     CommandResult propose(const ControlCommand &command);
     CommandResult sign(const ControlCommand &command);
     CommandResult rollout(const ControlCommand &command, std::uint64_t index);
-    CommandResult setMember(std::vector<std::string> &names, const std::string &subject, bool present,
+    CommandResult setListed(std::vector<std::string> &names, const std::string &subject, bool isListed,
                             std::uint64_t index);
-    void forgetOld();
+    void pruneBundles();
 
     std::vector<BootstrapKey> m_bootstrapKeys;
     std::map<std::uint64_t, BundleRecord> m_bundles; ///< by version
--- a/lib/Control/ControlState.cpp
+++ b/lib/Control/ControlState.cpp
@@ -1,7 +1,8 @@
 //===- ControlState.cpp - Bundles, sign-off and drains --------------------===//
 //
-// Commands may come twice, since a caller who lost an answer sends again: the same command gets the first answer. Two
-// operators may race with one version: the first in the log has it, the other is told whose it is.
+// Commands may arrive twice, since a client that lost an answer sends its command again: a repeated command has no
+// further effect and succeeds. Two operators may race for one version: the first command in the log gets it, the other
+// is answered with the digest and author of the first.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Control.h"
@@ -56,16 +57,16 @@
         if (!m_bundle || !m_bundle->findTarget(command.subject)) {
             return refused("no target is named \"" + command.subject + "\"");
         }
-        return setMember(m_config.drainedTargets, command.subject, command.kind == CommandKind::DrainTarget, index);
+        return setListed(m_config.drainedTargets, command.subject, command.kind == CommandKind::DrainTarget, index);
     case CommandKind::DrainHost:
     case CommandKind::UndrainHost:
         if (!m_bundle || !m_bundle->findHost(command.subject)) {
             return refused("no entry host is named \"" + command.subject + "\"");
         }
-        return setMember(m_config.drainedHosts, command.subject, command.kind == CommandKind::DrainHost, index);
+        return setListed(m_config.drainedHosts, command.subject, command.kind == CommandKind::DrainHost, index);
     case CommandKind::VoidHost:
     case CommandKind::UnvoidHost:
-        return setMember(m_config.voidHosts, command.subject, command.kind == CommandKind::VoidHost, index);
+        return setListed(m_config.voidHosts, command.subject, command.kind == CommandKind::VoidHost, index);
     }
     return refused("the command is of no known kind");
 }
@@ -144,22 +145,22 @@
     record.inForceIndex = index;
     m_config.bundleText = record.text;
     m_config.index = index;
-    // A drain or a passed-on slice of something that the new bundle no longer names has no meaning left.
+    // Drains and void hosts that the new bundle no longer names have no meaning any more.
     std::erase_if(m_config.drainedTargets, [&](const std::string &name) { return !m_bundle->findTarget(name); });
     std::erase_if(m_config.drainedHosts, [&](const std::string &name) { return !m_bundle->findHost(name); });
     std::erase_if(m_config.voidHosts, [&](const std::string &name) { return !m_bundle->findHost(name); });
-    forgetOld();
+    pruneBundles();
     return {};
 }
 
-CommandResult ControlState::setMember(std::vector<std::string> &names, const std::string &subject, bool present,
+CommandResult ControlState::setListed(std::vector<std::string> &names, const std::string &subject, bool isListed,
                                       std::uint64_t index)
 {
     const auto it = std::find(names.begin(), names.end(), subject);
-    if ((it != names.end()) == present) {
+    if ((it != names.end()) == isListed) {
         return {CommandStatus::AlreadyDone, {}, {}, {}};
     }
-    if (present) {
+    if (isListed) {
         names.push_back(subject);
     } else {
         names.erase(it);
@@ -168,9 +169,9 @@
     return {};
 }
 
-// Texts are needed for the bundle in force and those above it only; digests stay, so that a late resend still gets the
-// first answer and a late rival its conflict.
-void ControlState::forgetOld()
+// Only the bundle in force and later ones need their texts. Digests stay, so that a late resend still gets AlreadyDone
+// and a late competing proposal gets Conflict.
+void ControlState::pruneBundles()
 {
     for (auto &[version, record] : m_bundles) {
         if (version < versionInForce()) {
@@ -231,14 +232,14 @@
                                      [&](const BootstrapKey &key) { return key.name == operatorName; });
         return it == m_bootstrapKeys.end() ? std::nullopt : std::optional(it->publicKey);
     }
-    const Operator *who = m_bundle->findOperator(operatorName);
-    if (who == nullptr) {
+    const Operator *holder = m_bundle->findOperator(operatorName);
+    if (holder == nullptr) {
         return std::nullopt;
     }
     const bool isSign = kind == CommandKind::Sign;
     const bool isBundle = kind == CommandKind::Propose || kind == CommandKind::Rollout;
-    const bool may = isSign ? who->maySign : isBundle ? who->mayPropose : who->mayDrain;
-    return may ? std::optional(who->publicKey) : std::nullopt;
+    const bool isPermitted = isSign ? holder->maySign : isBundle ? holder->mayPropose : holder->mayDrain;
+    return isPermitted ? std::optional(holder->publicKey) : std::nullopt;
 }
 
 unsigned ControlState::signaturesRequired() const
