--- a/unittests/InForce/OvertakenAskTest.cpp
+++ b/unittests/InForce/OvertakenAskTest.cpp
@@ -1,8 +1,9 @@
-//===- OvertakenAskTest.cpp - An ask that a cut held up, after a later one ----===//
+//===- OvertakenAskTest.cpp - A delayed poll that arrives after a later one ---===//
 //
-// Seen: a change was not acknowledged for 4 s, though all entry hosts had it. One of them had been cut off from the
-// control hosts, and had asked one after the other meanwhile. When the cut was over it followed another control host,
-// but connections sent its former asks again, up to seconds later, and whoever took one waited for what it says.
+// Guards against a change that was not acknowledged for 4 s although all entry hosts had it. One entry host had been
+// cut off from the control hosts and had polled one after the other meanwhile. After the partition it polled another
+// control host, but connections resent its earlier polls up to seconds later, and each control host that received one
+// took its outdated state for current and waited for it.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet/FleetMessages.h"
@@ -15,8 +16,8 @@
 namespace
 {
 
-constexpr std::uint64_t EarlierAsk = 5;
-constexpr std::uint64_t LaterAsk = 10;
+constexpr std::uint64_t EarlierSequence = 5;
+constexpr std::uint64_t LaterSequence = 10;
 
 HostReport entryHost(std::uint64_t sequence)
 {
@@ -29,7 +30,7 @@
     return report;
 }
 
-/// A control host that an entry host follows, as far as another control host can see.
+/// Stands in for a control host which reports to another one that an entry host polls it.
 class OtherControlHost
 {
 public:
@@ -37,7 +38,7 @@
         : m_self(std::move(self))
         , m_other(std::move(other))
     {
-        m_net.listen(m_self, [this](const IncomingCallPtr &call) { onCall(call); });
+        m_net.listen(m_self, [this](const IncomingCallPtr &call) { handleCall(call); });
     }
 
     ~OtherControlHost()
@@ -45,19 +46,19 @@
         m_net.stop();
     }
 
-    /// Asks the other one, and confirms all its news.
+    /// Polls the other control host and confirms all its updates.
     void confirmAll()
     {
-        FleetWatchCall ask;
-        ask.self.id = "other#1";
-        ask.self.role = HostRole::Control;
-        ask.self.zone = "z1";
-        ask.self.address = m_self.text();
-        ask.self.peer = m_self.text();
-        ask.self.sequence = ++m_sequence;
-        ask.epoch = m_epoch;
-        ask.confirmed = NewsPosition::everything();
-        const PeerReply reply = call(fleet::path::FleetWatch, encode(ask));
+        FleetWatchCall poll;
+        poll.self.id = "other#1";
+        poll.self.role = HostRole::Control;
+        poll.self.zone = "z1";
+        poll.self.address = m_self.text();
+        poll.self.peer = m_self.text();
+        poll.self.sequence = ++m_sequence;
+        poll.epoch = m_epoch;
+        poll.confirmed = NewsPosition::everything();
+        const PeerReply reply = call(fleet::path::FleetWatch, encode(poll));
         REQUIRE(reply.delivered);
         m_epoch = decode<FleetWatchReply>(reply.body, "test").epoch;
     }
@@ -70,18 +71,18 @@
         return reply.get();
     }
 
-    std::atomic<int> asked{0}; ///< times that the other one has asked
+    std::atomic<int> polls{0}; ///< received from the other control host
 
 private:
-    void onCall(const IncomingCallPtr &call)
+    void handleCall(const IncomingCallPtr &call)
     {
         FleetWatchReply reply;
         reply.epoch = "epoch of the other";
         reply.version = 1;
         reply.isCurrent = true;
-        reply.changes.hosts.push_back({entryHost(LaterAsk), 0ms, false});
+        reply.changes.hosts.push_back({entryHost(LaterSequence), 0ms, false});
         if (call->path() == fleet::path::FleetWatch) {
-            ++asked;
+            ++polls;
         }
         call->reply(200, encode(reply));
     }
@@ -95,17 +96,17 @@
 
 } // namespace
 
-TEST_CASE("an ask that comes after a later one went to another control host holds up no acknowledgement")
+TEST_CASE("a poll that arrives after a later one went to another control host delays no acknowledgement")
 {
-    ServingSystem serving; // with a lease that no test waits for
+    ServingSystem serving; // with a lease longer than any wait of the test
     OtherControlHost other(addressOn(7, 17100), addressOn(1, 17100));
     other.confirmAll();
-    REQUIRE(System::eventually([&] { return other.asked >= 2; })); // its first reply is taken by then
+    REQUIRE(System::eventually([&] { return other.polls >= 2; })); // its first reply has been processed by then
     other.confirmAll();
-    FleetWatchCall heldUp;
-    heldUp.self = entryHost(EarlierAsk);
-    heldUp.routingIndex = 1;
-    heldUp.routingHeard = 1;
-    REQUIRE(other.call(fleet::path::FleetAlive, encode(heldUp)).delivered);
+    FleetWatchCall delayed;
+    delayed.self = entryHost(EarlierSequence);
+    delayed.routingIndex = 1;
+    delayed.routingHeard = 1;
+    REQUIRE(other.call(fleet::path::FleetAlive, encode(delayed)).delivered);
     serving.drainUntilAcknowledged();
 }
--- a/unittests/InForce/RoutesChangeTest.cpp
+++ b/unittests/InForce/RoutesChangeTest.cpp
@@ -1,12 +1,11 @@
 //===- RoutesChangeTest.cpp - Requests that are open while the routes change ---===//
 //
-// Seen: requests ran outside the home regions of their route, and by routes that an acknowledged change had replaced
-// seconds before. How it came about: a request kept a copy of its route from its arrival to its end, which may be
-// 20 s later. It was sent a second time, after a loss, a refusal or a silence of its first target, by that copy: to a
-// region that was no home any more, to a service that the route had been taken from, or although the route was gone.
-// Its host had confirmed the change long before, and only the target was looked at again. Cause: a decision kept what
-// it was made upon in place of asking for what is in force when it is carried out. Proved by driving one host alone:
-// it needs neither a slow link nor luck.
+// Guards against requests that run outside the home regions of their route, or by routes that an acknowledged change
+// replaced seconds before. A request kept a copy of its route from its arrival to its end, which may be 20 s later, and
+// was sent a second time, after a loss, a refusal or a silence of its first target, by that copy: to a region that was
+// no home any more, to a service that the route no longer named, or although the route was removed. Its host had
+// confirmed the change long before, but checked only the target again and not the route in force. A single host shows
+// the fault; it needs neither a slow link nor special timing.
 //
 //===----------------------------------------------------------------------===//
 #include "Balance/BalanceFixture.h"
@@ -20,7 +19,7 @@
 namespace
 {
 
-/// A host with a target of service "s" in its own region r1 and one in r2, and of service "other" likewise.
+/// A host with a target of service "s" in its own region r1 and one in r2, and the same for service "other".
 class ChangingHost : public Host
 {
 public:
@@ -49,7 +48,7 @@
         useTable();
     }
 
-    /// Starts a request whose only target so far is in r1, and returns its id.
+    /// Starts a request whose first attempt goes to r1, the only home region, and returns its id.
     RequestId requestInRegionOne(const std::string &path)
     {
         route().homeRegions = route(1).homeRegions = {"r1"};
@@ -68,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("a request that is sent again goes to the homes that are in force then")
+TEST_CASE("a retry goes to the home regions in force at that time")
 {
     ChangingHost host;
     const RequestId id = host.requestInRegionOne("/once/x");
@@ -79,7 +78,7 @@
     CHECK(host.find<StartAttempt>()->target == "s-z3");
 }
 
-TEST_CASE("a request that is sent again goes to the service that its route leads to then")
+TEST_CASE("a retry goes to the service that the route names at that time")
 {
     ChangingHost host;
     const RequestId id = host.requestInRegionOne("/once/x");
@@ -90,7 +89,7 @@
     CHECK(host.find<StartAttempt>()->target == "other-z1");
 }
 
-TEST_CASE("a request whose route is gone is not sent again")
+TEST_CASE("a request whose route was removed is not retried")
 {
     ChangingHost host;
     const RequestId once = host.request("/once/x");
@@ -107,7 +106,7 @@
     CHECK_FALSE(promisesNotRun(host.find<RefuseRequest>()->reason));
 }
 
-TEST_CASE("a request is not sent again where its route has come to allow one attempt only, or one run")
+TEST_CASE("a request is not retried once its route allows only one attempt, or only one run")
 {
     ChangingHost host;
     const RequestId id = host.request("/read/x");
@@ -124,13 +123,13 @@
     CHECK(other.find<StartAttempt>() == nullptr);
 }
 
-TEST_CASE("a request that waits for a connection is withdrawn once its route leads elsewhere")
+TEST_CASE("a request that waits for a connection is withdrawn once its route has another destination")
 {
     ChangingHost host;
     const RequestId id = host.requestInRegionOne("/once/x");
     REQUIRE(host.balancer.maySend(id, 1));
     host.putTable();
-    CHECK(host.balancer.maySend(id, 1)); // another version that leads there as well
+    CHECK(host.balancer.maySend(id, 1)); // another version with the same destination
     SECTION("to other home regions")
     {
         host.route(1).homeRegions = {"r2"};
@@ -151,7 +150,7 @@
     CHECK_FALSE(host.balancer.maySend(id, 1));
 }
 
-TEST_CASE("a request that was withdrawn is placed anew, and its target is not blamed")
+TEST_CASE("a withdrawn request is placed again, and does not count against its target")
 {
     ChangingHost host;
     const RequestId id = host.requestInRegionOne("/once/x");
@@ -166,12 +165,12 @@
     CHECK(host.find<StartAttempt>()->target == "s-z1");
 }
 
-TEST_CASE("a host that has known of newer routes for a lease decides nothing by its own until they arrive")
+TEST_CASE("a host that has known of newer routes for a lease makes no decisions until it receives them")
 {
     ChangingHost host;
     const RequestId waiting = host.request("/once/x");
-    const TimePoint heardAt = host.now;
-    host.reduce(NewsReceived{host.now, heardAt});
+    const TimePoint learnedAt = host.now;
+    host.reduce(NewsReceived{host.now, learnedAt});
     host.now += NewsLease;
     host.reduce(BalanceTick{});
     CHECK_FALSE(host.balancer.isSuspended());
@@ -202,16 +201,16 @@
         host.putTable();
         host.reduce(NewsReceived{host.now});
     }
-    SECTION("it finds that it can't read what it has confirmed")
+    SECTION("it finds that it can't decode what it has confirmed")
     {
-        host.reduce(NewsReceived{host.now, heardAt, false});
+        host.reduce(NewsReceived{host.now, learnedAt, false});
         CHECK(host.balancer.isSuspended());
         host.putTable();
         host.reduce(NewsReceived{host.now});
     }
-    SECTION("it is cut off, so nobody waits for it")
+    SECTION("it is cut off, so no host waits for it")
     {
-        host.reduce(NewsReceived{host.now, heardAt});
+        host.reduce(NewsReceived{host.now, learnedAt});
         host.now += 2 * NewsLease;
         host.reduce(BalanceTick{});
         REQUIRE(host.balancer.isSuspended());
@@ -223,19 +222,19 @@
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("a host that can't read newer routes goes on by its own, and one that is cut off does")
+TEST_CASE("a host that can't decode newer routes, or that is cut off, goes on using its own")
 {
     ChangingHost host;
-    NewsReceived news{host.now};
-    SECTION("it can't read them")
+    NewsReceived update{host.now};
+    SECTION("it can't decode them")
     {
-        news.behindSince = host.now;
-        news.isComing = false;
+        update.behindSince = host.now;
+        update.isComing = false;
     }
-    SECTION("it has not heard of any")
+    SECTION("it has not received any")
     {
     }
-    host.reduce(news);
+    host.reduce(update);
     host.now += 10 * NewsLease;
     host.reduce(BalanceTick{});
     CHECK_FALSE(host.balancer.isSuspended());
@@ -243,7 +242,7 @@
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("a silent target is doubled by the routes that are in force then")
+TEST_CASE("a request to a silent target is hedged by the routes in force at that time")
 {
     ChangingHost host;
     host.requestInRegionOne("/read/x");
@@ -255,13 +254,13 @@
     CHECK(host.find<StartAttempt>()->target == "s-z3");
 }
 
-TEST_CASE("whatever changes meanwhile, each send is one that the newest table allows")
+TEST_CASE("whatever changes, each attempt is one that the newest table allows")
 {
     CHECK(rc::check([] {
         ChangingHost host(*rc::gen::arbitrary<std::uint64_t>());
         std::map<std::uint64_t, std::vector<unsigned>> open;
         std::map<std::uint64_t, std::string> paths;
-        const auto look = [&] {
+        const auto checkEffects = [&] {
             for (const BalanceEffect &effect : host.effects) {
                 if (const auto *refuse = std::get_if<RefuseRequest>(&effect)) {
                     open.erase(static_cast<std::uint64_t>(refuse->id));
@@ -283,11 +282,11 @@
                 open[id].push_back(start->attempt);
             }
         };
-        const auto changeRoute = [&](int drawn) {
+        const auto changeRoute = [&](int choice) {
             host.table.routes = {Host::routeOf("/read/", RouteKind::Repeatable),
                                  Host::routeOf("/once/", RouteKind::OnceOnly)};
-            Route &route = host.route(static_cast<std::size_t>(drawn % 2));
-            switch (drawn / 2) {
+            Route &route = host.route(static_cast<std::size_t>(choice % 2));
+            switch (choice / 2) {
             case 0:
                 route.homeRegions = {"r1"};
                 break;
@@ -304,7 +303,7 @@
                 route.attempts = 1;
                 break;
             default:
-                host.table.routes.erase(host.table.routes.begin() + drawn % 2);
+                host.table.routes.erase(host.table.routes.begin() + choice % 2);
             }
             host.putTable();
         };
@@ -332,7 +331,7 @@
                          *rc::gen::element(AttemptOutcome::NotSent, AttemptOutcome::Shed, AttemptOutcome::Lost,
                                            AttemptOutcome::WrongTarget));
             }
-            look();
+            checkEffects();
         }
     }));
 }
--- a/unittests/InForce/WithoutMajorityTest.cpp
+++ b/unittests/InForce/WithoutMajorityTest.cpp
@@ -1,7 +1,8 @@
-//===- WithoutMajorityTest.cpp - A control host that nobody has to wait for ---===//
+//===- WithoutMajorityTest.cpp - A control host without a majority ------------===//
 //
-// A control host that has no majority can't get what the others agree on, so it could never confirm it, and each change
-// waited for it. Entry hosts that ask it are sent elsewhere, and a lease later it says that none goes by what it knows.
+// Guards against changes that wait for a control host without a majority. It can't receive what the others commit, so
+// it could never confirm a change. Entry hosts that poll it are redirected to others, and a lease later it reports that
+// no host uses its state any more.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet/FleetMessages.h"
@@ -18,7 +19,8 @@
 constexpr std::uint16_t PeerPort = 17110;
 constexpr std::uint16_t OperatorsPort = 17111;
 
-/// Stands in for another control host: keeps what it is asked, and answers nothing, so that there is no majority.
+/// Stands in for another control host: records the polls that it receives and never answers, so that there is no
+/// majority.
 class SilentPeer
 {
 public:
@@ -40,7 +42,7 @@
     SilentPeer(const SilentPeer &) = delete;
     SilentPeer &operator=(const SilentPeer &) = delete;
 
-    /// What each ask so far said to be confirmed.
+    /// Returns what each received poll reported as confirmed.
     std::vector<NewsPosition> confirmed() const
     {
         const std::lock_guard lock(m_mutex);
@@ -55,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("a control host without a majority is not waited for once its lease is over")
+TEST_CASE("changes don't wait for a control host without a majority once its lease is over")
 {
     const std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("pepperlug-majority-" + randomHex(8));
@@ -77,7 +79,7 @@
     {
         const RegistryDaemon registry(settings, clock, controlDialect<platform::Control>());
         REQUIRE(System::eventually([&] { return !peer.confirmed().empty(); }));
-        CHECK(peer.confirmed().front() == NewsPosition{}); // some may go by what it knew before
+        CHECK(peer.confirmed().front() == NewsPosition{}); // some hosts may use its earlier state
         CHECK(System::eventually([&] { return peer.confirmed().back() == NewsPosition::everything(); }));
     }
     std::filesystem::remove_all(folder);
