--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -308,11 +308,11 @@
 
 /// What one control host knows of who has taken over which news: of its own followers by their asks, of those of other
 /// control hosts by what these confirm. One object lives as long as the registry whose versions it speaks of.
-class NewsConfirmations
+class UpdateConfirmations
 {
 public:
     /// A follower is waited for until `lease` after its last ask.
-    explicit NewsConfirmations(Duration lease);
+    explicit UpdateConfirmations(Duration lease);
 
     /// An entry host asked; it acts upon all of this host's news up to a position. The newest call counts.
     void followerHas(const std::string &id, NewsPosition has, TimePoint now);
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -47,7 +47,7 @@
         m_confirmations.followerLeft(self.id);
         return;
     }
-    const std::optional<NewsConfirmations::Follower> before = m_confirmations.follower(self.id);
+    const std::optional<UpdateConfirmations::Follower> before = m_confirmations.follower(self.id);
     if (before && now - before->askedAt > m_settings.newsLease) {
         // It was not waited for meanwhile, but may have gone on by what it knew.
         m_metrics.count("pepperlug_followers_out_of_lease");
@@ -73,7 +73,7 @@
     nlohmann::json hosts = nlohmann::json::array();
     for (const std::string &name : firstOf(names)) {
         nlohmann::json host{{"host", name}};
-        if (const std::optional<NewsConfirmations::Follower> follower = m_confirmations.follower(name)) {
+        if (const std::optional<UpdateConfirmations::Follower> follower = m_confirmations.follower(name)) {
             host["routing"] = follower->has.routing;
             host["reports"] = follower->has.reports;
             host["asked_ms_ago"] = std::chrono::duration_cast<Milliseconds>(now - follower->askedAt).count();
--- a/lib/Fleet/RegistryImpl.h
+++ b/lib/Fleet/RegistryImpl.h
@@ -171,7 +171,7 @@
     BackpressureTable m_backpressure;
     QuotaSums m_quotas;
     TimePoint m_nextQuotas{};
-    NewsConfirmations m_confirmations;
+    UpdateConfirmations m_confirmations;
     std::map<std::string, TakenConfirmation> m_takenConfirmations; ///< by peer address of the confirming host
     std::vector<OwedConfirmation> m_owed;
     std::map<Address, std::string> m_epochs; ///< of other control hosts, as of their last reply
--- a/lib/Registry/NewsConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -1,4 +1,4 @@
-//===- NewsConfirmations.cpp - Who has confirmed what news ----------------===//
+//===- UpdateConfirmations.cpp - Who has confirmed what news ----------------===//
 //
 // A control host only hears from its own followers. Of all others it knows by the confirmations of the other control
 // hosts, each of which speaks for those that follow it in the moment in which it confirms. What a host confirms may
@@ -37,17 +37,17 @@
 
 } // namespace
 
-NewsConfirmations::NewsConfirmations(Duration lease)
+UpdateConfirmations::UpdateConfirmations(Duration lease)
     : m_lease(lease)
 {
 }
 
-bool NewsConfirmations::isInLease(const Follower &follower, TimePoint now) const
+bool UpdateConfirmations::isInLease(const Follower &follower, TimePoint now) const
 {
     return now - follower.askedAt <= m_lease;
 }
 
-NewsPosition NewsConfirmations::lowestOfFollowers(TimePoint now) const
+NewsPosition UpdateConfirmations::lowestOfFollowers(TimePoint now) const
 {
     NewsPosition lowest = NewsPosition::everything();
     for (const auto &[id, follower] : m_followers) {
@@ -60,7 +60,7 @@
     return lowest;
 }
 
-void NewsConfirmations::followerHas(const std::string &id, NewsPosition has, TimePoint now)
+void UpdateConfirmations::followerHas(const std::string &id, NewsPosition has, TimePoint now)
 {
     Follower &follower = m_followers[id];
     follower.askedAt = now;
@@ -71,7 +71,7 @@
     collapse(now);
 }
 
-void NewsConfirmations::followerLives(const std::string &id, TimePoint now)
+void UpdateConfirmations::followerLives(const std::string &id, TimePoint now)
 {
     m_followers[id].askedAt = now;
 }
@@ -79,7 +79,7 @@
 // Hosts that restart in series would otherwise hold up everything: each waits for its first reply about as long as
 // passes until the next one restarts. Measured by "hosts that restart in series hold up neither departures nor
 // changes": nothing is acknowledged in 2 s without it, and all with it.
-void NewsConfirmations::followerIsTold(const std::string &id, NewsPosition told)
+void UpdateConfirmations::followerIsTold(const std::string &id, NewsPosition told)
 {
     const auto it = m_followers.find(id);
     const bool hasNothing =
@@ -91,19 +91,19 @@
     it->second.toldRouting = told.routing;
 }
 
-std::optional<NewsConfirmations::Follower> NewsConfirmations::follower(const std::string &id) const
+std::optional<UpdateConfirmations::Follower> UpdateConfirmations::follower(const std::string &id) const
 {
     const auto it = m_followers.find(id);
     return it == m_followers.end() ? std::nullopt : std::optional(it->second);
 }
 
-void NewsConfirmations::followerLeft(const std::string &id)
+void UpdateConfirmations::followerLeft(const std::string &id)
 {
     m_followers.erase(id);
 }
 
-void NewsConfirmations::merged(const std::string &peer, const std::string &epoch, std::uint64_t theirs,
-                               std::uint64_t own)
+void UpdateConfirmations::merged(const std::string &peer, const std::string &epoch, std::uint64_t theirs,
+                                 std::uint64_t own)
 {
     MergedNews &news = m_merged[peer];
     if (news.epoch != epoch) {
@@ -126,7 +126,7 @@
 }
 
 // A follower that goes back below the pair that is left makes this host confirm nothing until it has caught up.
-void NewsConfirmations::collapse(TimePoint now)
+void UpdateConfirmations::collapse(TimePoint now)
 {
     const std::uint64_t reached = lowestOfFollowers(now).reports;
     for (auto &[peer, news] : m_merged) {
@@ -137,8 +137,8 @@
     }
 }
 
-NewsPosition NewsConfirmations::confirmedTo(const std::string &peer, const std::string &epoch, std::uint64_t ownRouting,
-                                            TimePoint now) const
+NewsPosition UpdateConfirmations::confirmedTo(const std::string &peer, const std::string &epoch,
+                                              std::uint64_t ownRouting, TimePoint now) const
 {
     const NewsPosition lowest = lowestOfFollowers(now);
     // Routing is agreed on, so its index means the same everywhere, whoever told it.
@@ -155,13 +155,13 @@
     return upTo;
 }
 
-void NewsConfirmations::peerConfirmed(const std::string &peer, NewsPosition upTo)
+void UpdateConfirmations::peerConfirmed(const std::string &peer, NewsPosition upTo)
 {
     m_confirmed[peer] = upTo;
 }
 
-std::vector<std::string> NewsConfirmations::missing(NewsPosition position, const std::vector<std::string> &peers,
-                                                    TimePoint now) const
+std::vector<std::string> UpdateConfirmations::missing(NewsPosition position, const std::vector<std::string> &peers,
+                                                      TimePoint now) const
 {
     std::vector<std::string> names;
     for (const auto &[id, follower] : m_followers) {
@@ -179,7 +179,7 @@
     return names;
 }
 
-void NewsConfirmations::forget(const std::vector<std::string> &peers, TimePoint now)
+void UpdateConfirmations::forget(const std::vector<std::string> &peers, TimePoint now)
 {
     const auto isUnknown = [&](const auto &it) {
         return std::find(peers.begin(), peers.end(), it.first) == peers.end();
--- a/unittests/Registry/NewsConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -1,4 +1,4 @@
-//===- NewsConfirmationsTest.cpp - Who has confirmed what news ------------===//
+//===- UpdateConfirmationsTest.cpp - Who has confirmed what news ------------===//
 //
 // First the rules one by one, then a small model of control hosts and entry
 // hosts in which whatever can go wrong does.
@@ -42,10 +42,10 @@
     };
     for (const Case &it : cases) {
         INFO(it.what);
-        NewsConfirmations news(Lease);
+        UpdateConfirmations news(Lease);
         news.followerHas("e1", it.has, Start);
         CHECK(news.missing(it.wanted, {}, Start) == (it.isMissing ? Names{"e1"} : Names{}));
-        NewsConfirmations ofPeer(Lease);
+        UpdateConfirmations ofPeer(Lease);
         ofPeer.peerConfirmed("c2", it.has);
         CHECK(ofPeer.missing(it.wanted, {"c2"}, Start) == (it.isMissing ? Names{"c2"} : Names{}));
     }
@@ -53,7 +53,7 @@
 
 TEST_CASE("a follower is waited for until a lease after its last ask, and again as soon as it asks again")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     const NewsPosition wanted{5, 0};
     news.followerHas("e1", {4, 0}, Start);
     news.followerHas("e2", {4, 0}, Start + 600ms);
@@ -68,7 +68,7 @@
 
 TEST_CASE("the newest ask of a follower counts, also where it goes back")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.followerHas("e1", {9, 9}, Start);
     news.followerHas("e1", {0, 3}, Start + 1ms);
     CHECK(news.missing({9, 0}, {}, Start + 1ms) == Names{"e1"});
@@ -78,7 +78,7 @@
 
 TEST_CASE("a follower that has left is not waited for")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
     news.followerHas("e1", {4, 1}, Start);
     CHECK(news.confirmedTo("c2", "x", 2, Start) == NewsPosition{0, 1});
@@ -90,7 +90,7 @@
 
 TEST_CASE("control hosts that live are waited for until they confirm; the newest confirmation counts")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     const NewsPosition wanted{5, 0};
     CHECK(news.missing(wanted, {"c2", "c3"}, Start) == Names{"c2", "c3"});
     news.peerConfirmed("c2", {5, 0});
@@ -103,7 +103,7 @@
 
 TEST_CASE("followers are named before control hosts, those that live only")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.followerHas("e2", {1, 0}, Start);
     news.followerHas("e1", {1, 0}, Start);
     news.peerConfirmed("c9", {1, 0});
@@ -112,7 +112,7 @@
 
 TEST_CASE("a control host confirms what all its followers have come to, and all of it if it has none")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     CHECK(news.confirmedTo("c2", "x", 4, Start) == NewsPosition{0, 4});
     news.merged("c2", "x", 30, 5);
     CHECK(news.confirmedTo("c2", "x", 4, Start) == NewsPosition{30, 4});
@@ -142,7 +142,7 @@
 
 TEST_CASE("followers whose lease is over hold no confirmation back; one that is new with nothing does")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
     news.followerHas("e1", {4, 1}, Start);
     CHECK(news.confirmedTo("c2", "x", 2, Start + Lease) == NewsPosition{0, 1});
@@ -155,7 +155,7 @@
 
 TEST_CASE("reports are confirmed to the life of a control host that told them; routing means the same in each")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
     news.merged("c3", "v", 70, 6);
     CHECK(news.confirmedTo("c2", "y", 3, Start) == NewsPosition{0, 3});
@@ -170,7 +170,7 @@
 
 TEST_CASE("news that change nothing here are confirmed by whoever had come so far")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.followerHas("e1", {5, 0}, Start);
     news.merged("c2", "x", 30, 5);
     news.merged("c2", "x", 31, 5);
@@ -185,7 +185,7 @@
 
 TEST_CASE("pairs that all followers have reached collapse into the newest such pair")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.followerHas("e1", {0, 0}, Start);
     news.merged("c2", "x", 30, 5);
     news.merged("c2", "x", 40, 8);
@@ -201,7 +201,7 @@
 
 TEST_CASE("a follower that stays behind for very long makes nothing confirmed that it has not got, and may catch up")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.followerHas("e1", {1, 0}, Start);
     // For each n, own version 10 n goes with version n of the other host.
     constexpr std::uint64_t Many = 100000;
@@ -218,7 +218,7 @@
 
 TEST_CASE("a follower that is always some replies behind is confirmed for step by step, however long this goes on")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     constexpr std::uint64_t Behind = 200;
     for (std::uint64_t n = 1; n <= 5000; ++n) {
         news.merged("c2", "x", n, 10 * n);
@@ -230,7 +230,7 @@
 
 TEST_CASE("forgetting drops who is not known any more, and changes nothing for followers in lease and known peers")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.followerHas("e1", {4, 0}, Start);
     news.merged("c2", "x", 30, 5);
     news.merged("c3", "v", 70, 5);
@@ -248,8 +248,8 @@
 TEST_CASE("a host that moves is waited for where it left until its lease is over, and where it came from its first ask")
 {
     // Two control hosts, a and b; the entry host follows a and then b, before a hears of a departure.
-    NewsConfirmations a(Lease);
-    NewsConfirmations b(Lease);
+    UpdateConfirmations a(Lease);
+    UpdateConfirmations b(Lease);
     a.followerHas("e1", {4, 0}, Start);
     const NewsPosition departure{5, 0};
     b.merged("a", "x", 5, 2);
@@ -268,7 +268,7 @@
 
 TEST_CASE("a follower that has nothing is waited for by what its first reply told it")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
     news.followerHas("e1", {0, 0}, Start);
     CHECK(news.missing({5, 2}, {}, Start) == Names{"e1"});
@@ -291,7 +291,7 @@
 
 TEST_CASE("a sign of life of a host that is not known, or what one is told that has something, confirms nothing")
 {
-    NewsConfirmations news(Lease);
+    UpdateConfirmations news(Lease);
     news.followerLives("e1", Start);
     CHECK(news.missing({1, 0}, {}, Start) == Names{"e1"});
     news.followerHas("e2", {3, 1}, Start);
@@ -346,7 +346,7 @@
     std::uint64_t life = 1;
     TimePoint startedAt = Start - 10 * Lease;
     TimePoint endedAt{};
-    NewsConfirmations confirmations{Lease};
+    UpdateConfirmations confirmations{Lease};
     std::uint64_t version = 1;
     std::uint64_t routing = 1; ///< kept on the disk
     Departures heard; ///< from targets
