--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -288,18 +288,18 @@
 };
 
 /// How far a host has taken over the news of one control host.
-struct NewsPosition {
+struct UpdateVersions {
     std::uint64_t reports = 0; ///< version of the control host's registry
     std::uint64_t routing = 0; ///< log index
     /// Beyond all news that there may be.
-    static NewsPosition everything()
+    static UpdateVersions everything()
     {
         constexpr std::uint64_t Unlimited = std::numeric_limits<std::uint64_t>::max();
         return {Unlimited, Unlimited};
     }
-    bool operator==(const NewsPosition &) const = default;
+    bool operator==(const UpdateVersions &) const = default;
     /// Whether it is as far as the other one in both; a 0 there asks for nothing.
-    bool reaches(const NewsPosition &wanted) const
+    bool reaches(const UpdateVersions &wanted) const
     {
         return reports >= wanted.reports && routing >= wanted.routing;
     }
@@ -315,13 +315,13 @@
     explicit UpdateConfirmations(Duration lease);
 
     /// An entry host asked; it acts upon all of this host's news up to a position. The newest call counts.
-    void followerHas(const std::string &id, NewsPosition has, TimePoint now);
+    void followerHas(const std::string &id, UpdateVersions has, TimePoint now);
     /// An entry host that acts upon nothing yet lives: it is still waited for by what it was told last.
     void followerLives(const std::string &id, TimePoint now);
     /// An entry host that has nothing gets a reply which brings it to a position. Until it arrives the host sends
     /// nothing to any target, so only what came to be after the reply was made has to wait for it. To be called with
     /// the reply to the newest ask alone.
-    void followerIsTold(const std::string &id, NewsPosition told);
+    void followerIsTold(const std::string &id, UpdateVersions told);
     /// An entry host has ended, or follows another control host and each control host that relies on this one's
     /// confirmations has one of the other that counts it. Until then its lease goes on here.
     void followerLeft(const std::string &id);
@@ -331,17 +331,18 @@
     /// Up to which position of the other host's news this host and all its followers in lease have come. `reports` is 0
     /// if the epoch is not the one of merged(); `routing` is the lowest of `ownRouting`, the log index applied here,
     /// and of the followers'.
-    NewsPosition confirmedTo(const std::string &peer, const std::string &epoch, std::uint64_t ownRouting,
-                             TimePoint now) const;
+    UpdateVersions confirmedTo(const std::string &peer, const std::string &epoch, std::uint64_t ownRouting,
+                               TimePoint now) const;
     /// Another control host confirmed this host's news, for itself and its followers. The caller has checked that the
     /// epoch is this host's. The newest call counts.
-    void peerConfirmed(const std::string &peer, NewsPosition upTo);
+    void peerConfirmed(const std::string &peer, UpdateVersions upTo);
     /// Who has not confirmed a position of this host's own news yet: followers in lease, and those of `peers` (the
     /// control hosts that live); empty if it holds everywhere. A 0 in the position asks for nothing.
-    std::vector<std::string> missing(NewsPosition position, const std::vector<std::string> &peers, TimePoint now) const;
+    std::vector<std::string> missing(UpdateVersions position, const std::vector<std::string> &peers,
+                                     TimePoint now) const;
     /// An entry host that asked here: what it has, and when it asked last.
     struct Follower {
-        NewsPosition has;
+        UpdateVersions has;
         TimePoint askedAt{};
         std::uint64_t toldRouting = 0; ///< log index that it gets at least, while it has no routing
     };
@@ -364,13 +365,13 @@
     };
 
     bool isInLease(const Follower &follower, TimePoint now) const;
-    NewsPosition lowestOfFollowers(TimePoint now) const;
+    UpdateVersions lowestOfFollowers(TimePoint now) const;
     void collapse(TimePoint now);
 
     Duration m_lease;
     std::map<std::string, Follower> m_followers; ///< by id
     std::map<std::string, MergedNews> m_merged; ///< by peer
-    std::map<std::string, NewsPosition> m_confirmed; ///< by peer
+    std::map<std::string, UpdateVersions> m_confirmed; ///< by peer
 };
 
 } // namespace pepperlug::fleet
--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -50,7 +50,7 @@
     Milliseconds patience{}; ///< how long the reply may be held back
     /// By a control host: news of the asked host that it and all its followers have. By an entry host: the log index
     /// such that it decides nothing by an older routing.
-    NewsPosition confirmed;
+    UpdateVersions confirmed;
     NewsOffer<SuspectReport> suspects; ///< requests under which targets ended
     NewsOffer<BackpressureReport> backpressure; ///< what targets ask for in their answers
     std::uint64_t loadsSince = 0; ///< version of the asked host's QuotaSums that the asker has
@@ -98,7 +98,7 @@
     std::string peer; ///< its address
     std::uint64_t sequence = 0; ///< one count with that of its reports
     std::string epoch; ///< of the registry that is confirmed
-    NewsPosition upTo;
+    UpdateVersions upTo;
     MSGPACK_DEFINE(host, peer, sequence, epoch, upTo);
 };
 
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -40,7 +40,7 @@
     if (self.role == HostRole::Control) {
         m_seenBy[self.peer] = ask.since;
         // Positions of an earlier life of this host mean nothing now.
-        m_confirmations.peerConfirmed(self.peer, isSameEpoch ? ask.confirmed : NewsPosition{});
+        m_confirmations.peerConfirmed(self.peer, isSameEpoch ? ask.confirmed : UpdateVersions{});
         return;
     }
     if (self.presence == Presence::Gone) {
@@ -107,7 +107,7 @@
     call->reply(Ok, "");
 }
 
-void RegistryDaemon::Impl::oweConfirmation(const std::optional<Address> &to, NewsPosition position)
+void RegistryDaemon::Impl::oweConfirmation(const std::optional<Address> &to, UpdateVersions position)
 {
     if (to && *to != m_settings.peer) {
         m_owed.push_back({*to, position, m_clock.now() + 2 * m_settings.newsLease});
@@ -161,17 +161,18 @@
     return !m_wasCurrent && now - m_notCurrentSince > m_settings.newsLease;
 }
 
-NewsPosition RegistryDaemon::Impl::confirmedTo(const Address &to, const std::string &epoch) const
+UpdateVersions RegistryDaemon::Impl::confirmedTo(const Address &to, const std::string &epoch) const
 {
     const TimePoint now = m_clock.now();
     if (isFollowedByNobody(now)) {
-        return NewsPosition::everything();
+        return UpdateVersions::everything();
     }
-    return knowsFollowers(now) ? m_confirmations.confirmedTo(to.text(), epoch, m_routing.index(), now) : NewsPosition{};
+    return knowsFollowers(now) ? m_confirmations.confirmedTo(to.text(), epoch, m_routing.index(), now)
+                               : UpdateVersions{};
 }
 
 // Names of hosts that may still act upon older news; empty if a position holds everywhere.
-std::vector<std::string> RegistryDaemon::Impl::unconfirmed(NewsPosition position, TimePoint now) const
+std::vector<std::string> RegistryDaemon::Impl::unconfirmed(UpdateVersions position, TimePoint now) const
 {
     if (!knowsFollowers(now)) {
         return {m_settings.name};
--- a/lib/Fleet/RegistryImpl.h
+++ b/lib/Fleet/RegistryImpl.h
@@ -82,12 +82,12 @@
     bool knowsFollowers(TimePoint now) const;
     void onConfirm(const IncomingCallPtr &call);
     bool isNewestOf(const std::string &peer, const std::string &host, std::uint64_t sequence);
-    void oweConfirmation(const std::optional<Address> &to, NewsPosition position);
+    void oweConfirmation(const std::optional<Address> &to, UpdateVersions position);
     void sendOwedConfirmations(TimePoint now);
     bool isFollowedByNobody(TimePoint now) const;
-    NewsPosition confirmedTo(const Address &to, const std::string &epoch) const;
+    UpdateVersions confirmedTo(const Address &to, const std::string &epoch) const;
     nlohmann::json describeMissing(const std::vector<std::string> &names, TimePoint now) const;
-    std::vector<std::string> unconfirmed(NewsPosition position, TimePoint now) const;
+    std::vector<std::string> unconfirmed(UpdateVersions position, TimePoint now) const;
     void settle(TimePoint now);
     void settleDepartures(TimePoint now);
     void awaitConfirmation(const HttpExchangePtr &exchange, const std::string &subject, bool isAgain);
@@ -151,7 +151,7 @@
     /// What another control host may wait for, until this host and its followers have come to it.
     struct OwedConfirmation {
         Address to;
-        NewsPosition position;
+        UpdateVersions position;
         TimePoint until{}; ///< nobody waits for it any more
     };
 
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -47,9 +47,9 @@
     return now - follower.askedAt <= m_lease;
 }
 
-NewsPosition UpdateConfirmations::lowestOfFollowers(TimePoint now) const
+UpdateVersions UpdateConfirmations::lowestOfFollowers(TimePoint now) const
 {
-    NewsPosition lowest = NewsPosition::everything();
+    UpdateVersions lowest = UpdateVersions::everything();
     for (const auto &[id, follower] : m_followers) {
         if (!isInLease(follower, now)) {
             continue;
@@ -60,7 +60,7 @@
     return lowest;
 }
 
-void UpdateConfirmations::followerHas(const std::string &id, NewsPosition has, TimePoint now)
+void UpdateConfirmations::followerHas(const std::string &id, UpdateVersions has, TimePoint now)
 {
     Follower &follower = m_followers[id];
     follower.askedAt = now;
@@ -79,7 +79,7 @@
 // Hosts that restart in series would otherwise hold up everything: each waits for its first reply about as long as
 // passes until the next one restarts. Measured by "hosts that restart in series hold up neither departures nor
 // changes": nothing is acknowledged in 2 s without it, and all with it.
-void UpdateConfirmations::followerIsTold(const std::string &id, NewsPosition told)
+void UpdateConfirmations::followerIsTold(const std::string &id, UpdateVersions told)
 {
     const auto it = m_followers.find(id);
     const bool hasNothing =
@@ -137,12 +137,12 @@
     }
 }
 
-NewsPosition UpdateConfirmations::confirmedTo(const std::string &peer, const std::string &epoch,
-                                              std::uint64_t ownRouting, TimePoint now) const
+UpdateVersions UpdateConfirmations::confirmedTo(const std::string &peer, const std::string &epoch,
+                                                std::uint64_t ownRouting, TimePoint now) const
 {
-    const NewsPosition lowest = lowestOfFollowers(now);
+    const UpdateVersions lowest = lowestOfFollowers(now);
     // Routing is agreed on, so its index means the same everywhere, whoever told it.
-    NewsPosition upTo{0, std::min(ownRouting, lowest.routing)};
+    UpdateVersions upTo{0, std::min(ownRouting, lowest.routing)};
     const auto it = m_merged.find(peer);
     if (it == m_merged.end() || it->second.epoch != epoch) {
         return upTo;
@@ -155,12 +155,12 @@
     return upTo;
 }
 
-void UpdateConfirmations::peerConfirmed(const std::string &peer, NewsPosition upTo)
+void UpdateConfirmations::peerConfirmed(const std::string &peer, UpdateVersions upTo)
 {
     m_confirmed[peer] = upTo;
 }
 
-std::vector<std::string> UpdateConfirmations::missing(NewsPosition position, const std::vector<std::string> &peers,
+std::vector<std::string> UpdateConfirmations::missing(UpdateVersions position, const std::vector<std::string> &peers,
                                                       TimePoint now) const
 {
     std::vector<std::string> names;
@@ -171,7 +171,7 @@
     }
     for (const std::string &peer : peers) {
         const auto it = m_confirmed.find(peer);
-        const NewsPosition upTo = it == m_confirmed.end() ? NewsPosition{} : it->second;
+        const UpdateVersions upTo = it == m_confirmed.end() ? UpdateVersions{} : it->second;
         if (!upTo.reaches(position)) {
             names.push_back(peer);
         }
--- a/unittests/InForce/OvertakenAskTest.cpp
+++ b/unittests/InForce/OvertakenAskTest.cpp
@@ -56,7 +56,7 @@
         ask.self.peer = m_self.text();
         ask.self.sequence = ++m_sequence;
         ask.epoch = m_epoch;
-        ask.confirmed = NewsPosition::everything();
+        ask.confirmed = UpdateVersions::everything();
         const PeerReply reply = call(fleet::path::FleetWatch, encode(ask));
         REQUIRE(reply.delivered);
         m_epoch = decode<FleetWatchReply>(reply.body, "test").epoch;
--- a/unittests/InForce/WithoutMajorityTest.cpp
+++ b/unittests/InForce/WithoutMajorityTest.cpp
@@ -41,7 +41,7 @@
     SilentPeer &operator=(const SilentPeer &) = delete;
 
     /// What each ask so far said to be confirmed.
-    std::vector<NewsPosition> confirmed() const
+    std::vector<UpdateVersions> confirmed() const
     {
         const std::lock_guard lock(m_mutex);
         return m_confirmed;
@@ -49,7 +49,7 @@
 
 private:
     mutable std::mutex m_mutex;
-    std::vector<NewsPosition> m_confirmed;
+    std::vector<UpdateVersions> m_confirmed;
     PeerNet m_net;
 };
 
@@ -77,8 +77,8 @@
     {
         const RegistryDaemon registry(settings, clock, controlDialect<platform::Control>());
         REQUIRE(System::eventually([&] { return !peer.confirmed().empty(); }));
-        CHECK(peer.confirmed().front() == NewsPosition{}); // some may go by what it knew before
-        CHECK(System::eventually([&] { return peer.confirmed().back() == NewsPosition::everything(); }));
+        CHECK(peer.confirmed().front() == UpdateVersions{}); // some may go by what it knew before
+        CHECK(System::eventually([&] { return peer.confirmed().back() == UpdateVersions::everything(); }));
     }
     std::filesystem::remove_all(folder);
 }
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -30,8 +30,8 @@
 {
     struct Case {
         const char *what;
-        NewsPosition has;
-        NewsPosition wanted;
+        UpdateVersions has;
+        UpdateVersions wanted;
         bool isMissing;
     };
     const std::vector<Case> cases{
@@ -54,7 +54,7 @@
 TEST_CASE("a follower is waited for until a lease after its last ask, and again as soon as it asks again")
 {
     UpdateConfirmations news(Lease);
-    const NewsPosition wanted{5, 0};
+    const UpdateVersions wanted{5, 0};
     news.followerHas("e1", {4, 0}, Start);
     news.followerHas("e2", {4, 0}, Start + 600ms);
     CHECK(news.missing(wanted, {}, Start + Lease) == Names{"e1", "e2"});
@@ -81,17 +81,17 @@
     UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
     news.followerHas("e1", {4, 1}, Start);
-    CHECK(news.confirmedTo("c2", "x", 2, Start) == NewsPosition{0, 1});
+    CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
     news.followerLeft("e1");
     CHECK(news.missing({5, 2}, {}, Start).empty());
-    CHECK(news.confirmedTo("c2", "x", 2, Start) == NewsPosition{30, 2});
+    CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
     news.followerLeft("e1"); // it may be told twice
 }
 
 TEST_CASE("control hosts that live are waited for until they confirm; the newest confirmation counts")
 {
     UpdateConfirmations news(Lease);
-    const NewsPosition wanted{5, 0};
+    const UpdateVersions wanted{5, 0};
     CHECK(news.missing(wanted, {"c2", "c3"}, Start) == Names{"c2", "c3"});
     news.peerConfirmed("c2", {5, 0});
     CHECK(news.missing(wanted, {"c2", "c3"}, Start) == Names{"c3"});
@@ -113,18 +113,18 @@
 TEST_CASE("a control host confirms what all its followers have come to, and all of it if it has none")
 {
     UpdateConfirmations news(Lease);
-    CHECK(news.confirmedTo("c2", "x", 4, Start) == NewsPosition{0, 4});
+    CHECK(news.confirmedTo("c2", "x", 4, Start) == UpdateVersions{0, 4});
     news.merged("c2", "x", 30, 5);
-    CHECK(news.confirmedTo("c2", "x", 4, Start) == NewsPosition{30, 4});
+    CHECK(news.confirmedTo("c2", "x", 4, Start) == UpdateVersions{30, 4});
     news.followerHas("e1", {5, 4}, Start);
     news.followerHas("e2", {7, 4}, Start);
     news.merged("c2", "x", 40, 8);
     news.merged("c2", "x", 50, 10);
     news.merged("c2", "x", 60, 12);
     struct Case {
-        NewsPosition e1;
-        NewsPosition e2;
-        NewsPosition confirmed; ///< with 9 as the routing that is applied here
+        UpdateVersions e1;
+        UpdateVersions e2;
+        UpdateVersions confirmed; ///< with 9 as the routing that is applied here
     };
     // Each line goes on from the one before.
     const std::vector<Case> cases{
@@ -145,12 +145,12 @@
     UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
     news.followerHas("e1", {4, 1}, Start);
-    CHECK(news.confirmedTo("c2", "x", 2, Start + Lease) == NewsPosition{0, 1});
-    CHECK(news.confirmedTo("c2", "x", 2, Start + Lease + 1ms) == NewsPosition{30, 2});
+    CHECK(news.confirmedTo("c2", "x", 2, Start + Lease) == UpdateVersions{0, 1});
+    CHECK(news.confirmedTo("c2", "x", 2, Start + Lease + 1ms) == UpdateVersions{30, 2});
     news.followerHas("e2", {0, 0}, Start + 2s);
-    CHECK(news.confirmedTo("c2", "x", 2, Start + 2s) == NewsPosition{0, 0});
+    CHECK(news.confirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{0, 0});
     news.followerHas("e2", {5, 2}, Start + 2s);
-    CHECK(news.confirmedTo("c2", "x", 2, Start + 2s) == NewsPosition{30, 2});
+    CHECK(news.confirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{30, 2});
 }
 
 TEST_CASE("reports are confirmed to the life of a control host that told them; routing means the same in each")
@@ -158,14 +158,14 @@
     UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
     news.merged("c3", "v", 70, 6);
-    CHECK(news.confirmedTo("c2", "y", 3, Start) == NewsPosition{0, 3});
-    CHECK(news.confirmedTo("c9", "x", 3, Start) == NewsPosition{0, 3});
+    CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
+    CHECK(news.confirmedTo("c9", "x", 3, Start) == UpdateVersions{0, 3});
     news.merged("c2", "y", 2, 9);
-    CHECK(news.confirmedTo("c2", "x", 3, Start) == NewsPosition{0, 3});
-    CHECK(news.confirmedTo("c2", "y", 3, Start) == NewsPosition{2, 3});
+    CHECK(news.confirmedTo("c2", "x", 3, Start) == UpdateVersions{0, 3});
+    CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{2, 3});
     news.followerHas("e1", {8, 3}, Start);
-    CHECK(news.confirmedTo("c2", "y", 3, Start) == NewsPosition{0, 3});
-    CHECK(news.confirmedTo("c3", "v", 3, Start) == NewsPosition{70, 3});
+    CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
+    CHECK(news.confirmedTo("c3", "v", 3, Start) == UpdateVersions{70, 3});
 }
 
 TEST_CASE("news that change nothing here are confirmed by whoever had come so far")
@@ -251,7 +251,7 @@
     UpdateConfirmations a(Lease);
     UpdateConfirmations b(Lease);
     a.followerHas("e1", {4, 0}, Start);
-    const NewsPosition departure{5, 0};
+    const UpdateVersions departure{5, 0};
     b.merged("a", "x", 5, 2);
     // b confirmed just before the host came to it. It is a that waits for the host.
     a.peerConfirmed("b", b.confirmedTo("a", "x", 0, Start + 10ms));
@@ -275,7 +275,7 @@
     news.followerIsTold("e1", {5, 2});
     // While that reply is on its way the host acts upon nothing, and then upon it.
     CHECK(news.missing({5, 2}, {}, Start).empty());
-    CHECK(news.confirmedTo("c2", "x", 2, Start) == NewsPosition{30, 2});
+    CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
     // What came to be later is not in that reply.
     CHECK(news.missing({6, 0}, {}, Start) == Names{"e1"});
     CHECK(news.missing({0, 3}, {}, Start) == Names{"e1"});
@@ -307,7 +307,7 @@
 /// News that a control host is to acknowledge: a departure that it heard, or a change of the routing.
 struct News {
     std::size_t departure = 0; ///< counted from 1; 0 for a change of the routing
-    NewsPosition position;
+    UpdateVersions position;
     TimePoint arose{}; ///< when the position came to be
     bool isAcknowledged = false;
 };
@@ -321,8 +321,8 @@
     std::size_t to = 0;
     std::uint64_t number = 0;
     std::uint64_t epoch = 0; ///< of the asked host, as known to the asker; 0 at first
-    NewsPosition has; ///< since which version, and the routing
-    NewsPosition confirmed; ///< by a control host
+    UpdateVersions has; ///< since which version, and the routing
+    UpdateVersions confirmed; ///< by a control host
 };
 
 struct ModelReply {
