--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -75,7 +75,7 @@
         nlohmann::json host{{"host", name}};
         if (const std::optional<UpdateConfirmations::Follower> follower = m_confirmations.follower(name)) {
             host["routing"] = follower->has.routing;
-            host["reports"] = follower->has.reports;
+            host["reports"] = follower->has.registryVersion;
             host["asked_ms_ago"] = std::chrono::duration_cast<Milliseconds>(now - follower->askedAt).count();
         }
         hosts.push_back(std::move(host));
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -54,7 +54,7 @@
         if (!isInLease(follower, now)) {
             continue;
         }
-        lowest.reports = std::min(lowest.reports, follower.has.reports);
+        lowest.registryVersion = std::min(lowest.registryVersion, follower.has.registryVersion);
         lowest.routing = std::min(lowest.routing, follower.has.routing);
     }
     return lowest;
@@ -82,8 +82,8 @@
 void UpdateConfirmations::followerIsTold(const std::string &id, UpdateVersions told)
 {
     const auto it = m_followers.find(id);
-    const bool hasNothing =
-        it != m_followers.end() && it->second.has.reports == 0 && it->second.has.routing == it->second.toldRouting;
+    const bool hasNothing = it != m_followers.end() && it->second.has.registryVersion == 0
+        && it->second.has.routing == it->second.toldRouting;
     if (!hasNothing) {
         return;
     }
@@ -128,7 +128,7 @@
 // A follower that goes back below the pair that is left makes this host confirm nothing until it has caught up.
 void UpdateConfirmations::collapse(TimePoint now)
 {
-    const std::uint64_t reached = lowestOfFollowers(now).reports;
+    const std::uint64_t reached = lowestOfFollowers(now).registryVersion;
     for (auto &[peer, news] : m_merged) {
         const auto beyond = firstBeyond(news.pairs, reached);
         if (beyond != news.pairs.begin()) {
@@ -148,9 +148,9 @@
         return upTo;
     }
     const std::vector<VersionPair> &pairs = it->second.pairs;
-    const auto beyond = firstBeyond(pairs, lowest.reports);
+    const auto beyond = firstBeyond(pairs, lowest.registryVersion);
     if (beyond != pairs.begin()) {
-        upTo.reports = std::prev(beyond)->theirs;
+        upTo.registryVersion = std::prev(beyond)->theirs;
     }
     return upTo;
 }
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -133,7 +133,7 @@
         {{12, 11}, {99, 10}, {60, 9}},
     };
     for (const Case &it : cases) {
-        INFO(it.e1.reports << " and " << it.e2.reports);
+        INFO(it.e1.registryVersion << " and " << it.e2.registryVersion);
         news.followerHas("e1", it.e1, Start);
         news.followerHas("e2", it.e2, Start);
         CHECK(news.confirmedTo("c2", "x", 9, Start) == it.confirmed);
@@ -174,13 +174,13 @@
     news.followerHas("e1", {5, 0}, Start);
     news.merged("c2", "x", 30, 5);
     news.merged("c2", "x", 31, 5);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).reports == 31);
+    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
     // What was told before is not asked of followers again.
     news.merged("c2", "x", 31, 9);
     news.merged("c2", "x", 30, 9);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).reports == 31);
+    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
     news.followerHas("e1", {9, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).reports == 31);
+    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
 }
 
 TEST_CASE("pairs that all followers have reached collapse into the newest such pair")
@@ -191,12 +191,12 @@
     news.merged("c2", "x", 40, 8);
     news.merged("c2", "x", 50, 10);
     news.followerHas("e1", {9, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).reports == 40);
+    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 40);
     // The pair at 5 is no longer kept: a follower that goes back below 8 has to catch up first.
     news.followerHas("e1", {6, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).reports == 0);
+    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 0);
     news.followerHas("e1", {10, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).reports == 50);
+    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 50);
 }
 
 TEST_CASE("a follower that stays behind for very long makes nothing confirmed that it has not got, and may catch up")
@@ -210,10 +210,10 @@
     }
     for (const std::uint64_t has : {9UL, 10UL, 19UL, 25UL, 999UL, 500000UL, 999999UL}) {
         news.followerHas("e1", {has, 0}, Start);
-        CHECK(news.confirmedTo("c2", "x", 0, Start).reports <= has / 10);
+        CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion <= has / 10);
     }
     news.followerHas("e1", {10 * Many, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).reports == Many);
+    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == Many);
 }
 
 TEST_CASE("a follower that is always some replies behind is confirmed for step by step, however long this goes on")
@@ -224,7 +224,7 @@
         news.merged("c2", "x", n, 10 * n);
         const std::uint64_t has = n > Behind ? n - Behind : 0;
         news.followerHas("e1", {10 * has, 0}, Start);
-        REQUIRE(news.confirmedTo("c2", "x", 0, Start).reports == has);
+        REQUIRE(news.confirmedTo("c2", "x", 0, Start).registryVersion == has);
     }
 }
 
@@ -239,8 +239,8 @@
     news.forget({"c2"}, Start + Lease);
     CHECK(news.missing({5, 0}, {"c2", "c3"}, Start + Lease) == Names{"e1", "c3"});
     news.forget({"c2"}, Start + 10 * Lease);
-    CHECK(news.confirmedTo("c2", "x", 0, Start + 10 * Lease).reports == 30);
-    CHECK(news.confirmedTo("c3", "v", 0, Start + 10 * Lease).reports == 0);
+    CHECK(news.confirmedTo("c2", "x", 0, Start + 10 * Lease).registryVersion == 30);
+    CHECK(news.confirmedTo("c3", "v", 0, Start + 10 * Lease).registryVersion == 0);
     // Also for a caller whose time was read earlier.
     CHECK(news.missing({5, 0}, {}, Start).empty());
 }
@@ -466,7 +466,7 @@
         ++control.version;
         for (News &it : control.news) {
             if (it.departure != 0 && !it.isAcknowledged) {
-                it.position.reports = control.version;
+                it.position.registryVersion = control.version;
                 it.arose = m_now;
             }
         }
@@ -748,9 +748,9 @@
             return;
         }
         const bool isThisLife = ask.epoch == control.life;
-        const std::uint64_t since = isThisLife ? ask.has.reports : 0;
+        const std::uint64_t since = isThisLife ? ask.has.registryVersion : 0;
         if (isControl(ask.from)) {
-            const std::uint64_t upTo = isThisLife ? ask.confirmed.reports : 0;
+            const std::uint64_t upTo = isThisLife ? ask.confirmed.registryVersion : 0;
             control.confirmations.peerConfirmed(nameOf(ask.from), {upTo, ask.confirmed.routing});
         } else {
             noteFollower(control, ask, since);
