--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -290,7 +290,7 @@
 /// How far a host has taken over the news of one control host.
 struct UpdateVersions {
     std::uint64_t registryVersion = 0; ///< version of the control host's registry
-    std::uint64_t routing = 0; ///< log index
+    std::uint64_t routingIndex = 0; ///< log index
     /// Beyond all news that there may be.
     static UpdateVersions everything()
     {
@@ -301,9 +301,9 @@
     /// Whether it is as far as the other one in both; a 0 there asks for nothing.
     bool reaches(const UpdateVersions &wanted) const
     {
-        return registryVersion >= wanted.registryVersion && routing >= wanted.routing;
+        return registryVersion >= wanted.registryVersion && routingIndex >= wanted.routingIndex;
     }
-    MSGPACK_DEFINE(registryVersion, routing);
+    MSGPACK_DEFINE(registryVersion, routingIndex);
 };
 
 /// What one control host knows of who has taken over which news: of its own followers by their asks, of those of other
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -82,7 +82,7 @@
         call.self = selfReport();
         call.routingIndex = m_routing.index;
         call.routingHeard = m_routingLag.newest();
-        call.confirmed.routing = actsUpon();
+        call.confirmed.routingIndex = actsUpon();
         describeSuspects(call, epoch);
         describeBackpressure(call, epoch);
         return call;
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -54,10 +54,10 @@
         m_events.state("follower-was-late",
                        {{"host", self.id},
                         {"silent_ms", std::chrono::duration_cast<Milliseconds>(now - before->askedAt).count()},
-                        {"had_routing", before->has.routing},
+                        {"had_routing", before->has.routingIndex},
                         {"has_routing", ask.routingIndex}});
     }
-    m_confirmations.followerHas(self.id, {ask.since, std::max(ask.routingIndex, ask.confirmed.routing)}, now);
+    m_confirmations.followerHas(self.id, {ask.since, std::max(ask.routingIndex, ask.confirmed.routingIndex)}, now);
 }
 
 // An entry host that has nothing, and no fetch on its way from another control host: it begins with the reply to this
@@ -74,7 +74,7 @@
     for (const std::string &name : firstOf(names)) {
         nlohmann::json host{{"host", name}};
         if (const std::optional<UpdateConfirmations::Follower> follower = m_confirmations.follower(name)) {
-            host["routing"] = follower->has.routing;
+            host["routing"] = follower->has.routingIndex;
             host["reports"] = follower->has.registryVersion;
             host["asked_ms_ago"] = std::chrono::duration_cast<Milliseconds>(now - follower->askedAt).count();
         }
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -55,7 +55,7 @@
             continue;
         }
         lowest.registryVersion = std::min(lowest.registryVersion, follower.has.registryVersion);
-        lowest.routing = std::min(lowest.routing, follower.has.routing);
+        lowest.routingIndex = std::min(lowest.routingIndex, follower.has.routingIndex);
     }
     return lowest;
 }
@@ -65,8 +65,8 @@
     Follower &follower = m_followers[id];
     follower.askedAt = now;
     follower.has = has;
-    if (has.routing == 0) {
-        follower.has.routing = follower.toldRouting;
+    if (has.routingIndex == 0) {
+        follower.has.routingIndex = follower.toldRouting;
     }
     collapse(now);
 }
@@ -83,12 +83,12 @@
 {
     const auto it = m_followers.find(id);
     const bool hasNothing = it != m_followers.end() && it->second.has.registryVersion == 0
-        && it->second.has.routing == it->second.toldRouting;
+        && it->second.has.routingIndex == it->second.toldRouting;
     if (!hasNothing) {
         return;
     }
     it->second.has = told;
-    it->second.toldRouting = told.routing;
+    it->second.toldRouting = told.routingIndex;
 }
 
 std::optional<UpdateConfirmations::Follower> UpdateConfirmations::follower(const std::string &id) const
@@ -142,7 +142,7 @@
 {
     const UpdateVersions lowest = lowestOfFollowers(now);
     // Routing is agreed on, so its index means the same everywhere, whoever told it.
-    UpdateVersions upTo{0, std::min(ownRouting, lowest.routing)};
+    UpdateVersions upTo{0, std::min(ownRouting, lowest.routingIndex)};
     const auto it = m_merged.find(peer);
     if (it == m_merged.end() || it->second.epoch != epoch) {
         return upTo;
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -667,8 +667,8 @@
     bool holds(const News &news) const
     {
         return std::all_of(m_entries.begin(), m_entries.end(), [&](const ModelEntry &entry) {
-            const bool hasIt =
-                news.departure != 0 ? entry.knows.contains(news.departure) : entry.routing >= news.position.routing;
+            const bool hasIt = news.departure != 0 ? entry.knows.contains(news.departure)
+                                                   : entry.routing >= news.position.routingIndex;
             const bool willHaveIt = entry.actsUponNothing() && beginsWith(entry, news);
             return hasIt || willHaveIt || !isPromised(entry, news);
         });
@@ -686,7 +686,8 @@
 
     static bool holdsNews(const ModelReply &reply, const News &news)
     {
-        return news.departure != 0 ? reply.departures.contains(news.departure) : reply.routing >= news.position.routing;
+        return news.departure != 0 ? reply.departures.contains(news.departure)
+                                   : reply.routing >= news.position.routingIndex;
     }
 
     // Whether an entry host that has nothing gets the news with whichever reply it may take next.
@@ -751,12 +752,12 @@
         const std::uint64_t since = isThisLife ? ask.has.registryVersion : 0;
         if (isControl(ask.from)) {
             const std::uint64_t upTo = isThisLife ? ask.confirmed.registryVersion : 0;
-            control.confirmations.peerConfirmed(nameOf(ask.from), {upTo, ask.confirmed.routing});
+            control.confirmations.peerConfirmed(nameOf(ask.from), {upTo, ask.confirmed.routingIndex});
         } else {
             noteFollower(control, ask, since);
         }
         m_replies.push_back(makeReply(control, ask, since));
-        const bool hasNothing = !isControl(ask.from) && ask.epoch == 0 && ask.has.routing == 0;
+        const bool hasNothing = !isControl(ask.from) && ask.epoch == 0 && ask.has.routingIndex == 0;
         if (hasNothing && isNoted(control, ask)) {
             const ModelReply &reply = m_replies.back();
             control.confirmations.followerIsTold(idOf(ask.from - controls(), ask.fromLife),
@@ -777,7 +778,7 @@
         std::pair<std::uint64_t, std::uint64_t> &newest = control.newest[ask.from];
         if (newest < std::pair(ask.fromLife, ask.number)) {
             newest = {ask.fromLife, ask.number};
-            control.confirmations.followerHas(idOf(entry, ask.fromLife), {since, ask.has.routing}, m_now);
+            control.confirmations.followerHas(idOf(entry, ask.fromLife), {since, ask.has.routingIndex}, m_now);
         } else {
             control.confirmations.followerLives(idOf(entry, ask.fromLife), m_now);
         }
