--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -292,7 +292,7 @@
     std::uint64_t registryVersion = 0; ///< version of the control host's registry
     std::uint64_t routingIndex = 0; ///< log index
     /// Beyond all news that there may be.
-    static UpdateVersions everything()
+    static UpdateVersions max()
     {
         constexpr std::uint64_t Unlimited = std::numeric_limits<std::uint64_t>::max();
         return {Unlimited, Unlimited};
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -165,7 +165,7 @@
 {
     const TimePoint now = m_clock.now();
     if (isFollowedByNobody(now)) {
-        return UpdateVersions::everything();
+        return UpdateVersions::max();
     }
     return knowsFollowers(now) ? m_confirmations.confirmedTo(to.text(), epoch, m_routing.index(), now)
                                : UpdateVersions{};
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -49,7 +49,7 @@
 
 UpdateVersions UpdateConfirmations::lowestOfFollowers(TimePoint now) const
 {
-    UpdateVersions lowest = UpdateVersions::everything();
+    UpdateVersions lowest = UpdateVersions::max();
     for (const auto &[id, follower] : m_followers) {
         if (!isInLease(follower, now)) {
             continue;
--- a/unittests/InForce/OvertakenAskTest.cpp
+++ b/unittests/InForce/OvertakenAskTest.cpp
@@ -56,7 +56,7 @@
         ask.self.peer = m_self.text();
         ask.self.sequence = ++m_sequence;
         ask.epoch = m_epoch;
-        ask.confirmed = UpdateVersions::everything();
+        ask.confirmed = UpdateVersions::max();
         const PeerReply reply = call(fleet::path::FleetWatch, encode(ask));
         REQUIRE(reply.delivered);
         m_epoch = decode<FleetWatchReply>(reply.body, "test").epoch;
--- a/unittests/InForce/WithoutMajorityTest.cpp
+++ b/unittests/InForce/WithoutMajorityTest.cpp
@@ -78,7 +78,7 @@
         const RegistryDaemon registry(settings, clock, controlDialect<platform::Control>());
         REQUIRE(System::eventually([&] { return !peer.confirmed().empty(); }));
         CHECK(peer.confirmed().front() == UpdateVersions{}); // some may go by what it knew before
-        CHECK(System::eventually([&] { return peer.confirmed().back() == UpdateVersions::everything(); }));
+        CHECK(System::eventually([&] { return peer.confirmed().back() == UpdateVersions::max(); }));
     }
     std::filesystem::remove_all(folder);
 }
