--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -315,7 +315,7 @@
     explicit UpdateConfirmations(Duration lease);
 
     /// An entry host asked; it acts upon all of this host's news up to a position. The newest call counts.
-    void followerHas(const std::string &id, UpdateVersions has, TimePoint now);
+    void recordPoll(const std::string &id, UpdateVersions has, TimePoint now);
     /// An entry host that acts upon nothing yet lives: it is still waited for by what it was told last.
     void followerLives(const std::string &id, TimePoint now);
     /// An entry host that has nothing gets a reply which brings it to a position. Until it arrives the host sends
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -57,7 +57,7 @@
                         {"had_routing", before->has.routingIndex},
                         {"has_routing", ask.routingIndex}});
     }
-    m_confirmations.followerHas(self.id, {ask.since, std::max(ask.routingIndex, ask.confirmed.routingIndex)}, now);
+    m_confirmations.recordPoll(self.id, {ask.since, std::max(ask.routingIndex, ask.confirmed.routingIndex)}, now);
 }
 
 // An entry host that has nothing, and no fetch on its way from another control host: it begins with the reply to this
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -60,7 +60,7 @@
     return lowest;
 }
 
-void UpdateConfirmations::followerHas(const std::string &id, UpdateVersions has, TimePoint now)
+void UpdateConfirmations::recordPoll(const std::string &id, UpdateVersions has, TimePoint now)
 {
     Follower &follower = m_followers[id];
     follower.askedAt = now;
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -43,7 +43,7 @@
     for (const Case &it : cases) {
         INFO(it.what);
         UpdateConfirmations news(Lease);
-        news.followerHas("e1", it.has, Start);
+        news.recordPoll("e1", it.has, Start);
         CHECK(news.missing(it.wanted, {}, Start) == (it.isMissing ? Names{"e1"} : Names{}));
         UpdateConfirmations ofPeer(Lease);
         ofPeer.peerConfirmed("c2", it.has);
@@ -55,22 +55,22 @@
 {
     UpdateConfirmations news(Lease);
     const UpdateVersions wanted{5, 0};
-    news.followerHas("e1", {4, 0}, Start);
-    news.followerHas("e2", {4, 0}, Start + 600ms);
+    news.recordPoll("e1", {4, 0}, Start);
+    news.recordPoll("e2", {4, 0}, Start + 600ms);
     CHECK(news.missing(wanted, {}, Start + Lease) == Names{"e1", "e2"});
     CHECK(news.missing(wanted, {}, Start + Lease + 1ms) == Names{"e2"});
     CHECK(news.missing(wanted, {}, Start + 600ms + Lease + 1ms).empty());
-    news.followerHas("e1", {4, 0}, Start + 5s);
+    news.recordPoll("e1", {4, 0}, Start + 5s);
     CHECK(news.missing(wanted, {}, Start + 5s) == Names{"e1"});
-    news.followerHas("e1", {5, 0}, Start + 5s);
+    news.recordPoll("e1", {5, 0}, Start + 5s);
     CHECK(news.missing(wanted, {}, Start + 5s).empty());
 }
 
 TEST_CASE("the newest ask of a follower counts, also where it goes back")
 {
     UpdateConfirmations news(Lease);
-    news.followerHas("e1", {9, 9}, Start);
-    news.followerHas("e1", {0, 3}, Start + 1ms);
+    news.recordPoll("e1", {9, 9}, Start);
+    news.recordPoll("e1", {0, 3}, Start + 1ms);
     CHECK(news.missing({9, 0}, {}, Start + 1ms) == Names{"e1"});
     CHECK(news.missing({0, 9}, {}, Start + 1ms) == Names{"e1"});
     CHECK(news.missing({0, 3}, {}, Start + 1ms).empty());
@@ -80,7 +80,7 @@
 {
     UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
-    news.followerHas("e1", {4, 1}, Start);
+    news.recordPoll("e1", {4, 1}, Start);
     CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
     news.followerLeft("e1");
     CHECK(news.missing({5, 2}, {}, Start).empty());
@@ -104,8 +104,8 @@
 TEST_CASE("followers are named before control hosts, those that live only")
 {
     UpdateConfirmations news(Lease);
-    news.followerHas("e2", {1, 0}, Start);
-    news.followerHas("e1", {1, 0}, Start);
+    news.recordPoll("e2", {1, 0}, Start);
+    news.recordPoll("e1", {1, 0}, Start);
     news.peerConfirmed("c9", {1, 0});
     CHECK(news.missing({5, 0}, {"c3", "c2"}, Start) == Names{"e1", "e2", "c3", "c2"});
 }
@@ -116,8 +116,8 @@
     CHECK(news.confirmedTo("c2", "x", 4, Start) == UpdateVersions{0, 4});
     news.merged("c2", "x", 30, 5);
     CHECK(news.confirmedTo("c2", "x", 4, Start) == UpdateVersions{30, 4});
-    news.followerHas("e1", {5, 4}, Start);
-    news.followerHas("e2", {7, 4}, Start);
+    news.recordPoll("e1", {5, 4}, Start);
+    news.recordPoll("e2", {7, 4}, Start);
     news.merged("c2", "x", 40, 8);
     news.merged("c2", "x", 50, 10);
     news.merged("c2", "x", 60, 12);
@@ -134,8 +134,8 @@
     };
     for (const Case &it : cases) {
         INFO(it.e1.registryVersion << " and " << it.e2.registryVersion);
-        news.followerHas("e1", it.e1, Start);
-        news.followerHas("e2", it.e2, Start);
+        news.recordPoll("e1", it.e1, Start);
+        news.recordPoll("e2", it.e2, Start);
         CHECK(news.confirmedTo("c2", "x", 9, Start) == it.confirmed);
     }
 }
@@ -144,12 +144,12 @@
 {
     UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
-    news.followerHas("e1", {4, 1}, Start);
+    news.recordPoll("e1", {4, 1}, Start);
     CHECK(news.confirmedTo("c2", "x", 2, Start + Lease) == UpdateVersions{0, 1});
     CHECK(news.confirmedTo("c2", "x", 2, Start + Lease + 1ms) == UpdateVersions{30, 2});
-    news.followerHas("e2", {0, 0}, Start + 2s);
+    news.recordPoll("e2", {0, 0}, Start + 2s);
     CHECK(news.confirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{0, 0});
-    news.followerHas("e2", {5, 2}, Start + 2s);
+    news.recordPoll("e2", {5, 2}, Start + 2s);
     CHECK(news.confirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{30, 2});
 }
 
@@ -163,7 +163,7 @@
     news.merged("c2", "y", 2, 9);
     CHECK(news.confirmedTo("c2", "x", 3, Start) == UpdateVersions{0, 3});
     CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{2, 3});
-    news.followerHas("e1", {8, 3}, Start);
+    news.recordPoll("e1", {8, 3}, Start);
     CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
     CHECK(news.confirmedTo("c3", "v", 3, Start) == UpdateVersions{70, 3});
 }
@@ -171,7 +171,7 @@
 TEST_CASE("news that change nothing here are confirmed by whoever had come so far")
 {
     UpdateConfirmations news(Lease);
-    news.followerHas("e1", {5, 0}, Start);
+    news.recordPoll("e1", {5, 0}, Start);
     news.merged("c2", "x", 30, 5);
     news.merged("c2", "x", 31, 5);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
@@ -179,40 +179,40 @@
     news.merged("c2", "x", 31, 9);
     news.merged("c2", "x", 30, 9);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
-    news.followerHas("e1", {9, 0}, Start);
+    news.recordPoll("e1", {9, 0}, Start);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
 }
 
 TEST_CASE("pairs that all followers have reached collapse into the newest such pair")
 {
     UpdateConfirmations news(Lease);
-    news.followerHas("e1", {0, 0}, Start);
+    news.recordPoll("e1", {0, 0}, Start);
     news.merged("c2", "x", 30, 5);
     news.merged("c2", "x", 40, 8);
     news.merged("c2", "x", 50, 10);
-    news.followerHas("e1", {9, 0}, Start);
+    news.recordPoll("e1", {9, 0}, Start);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 40);
     // The pair at 5 is no longer kept: a follower that goes back below 8 has to catch up first.
-    news.followerHas("e1", {6, 0}, Start);
+    news.recordPoll("e1", {6, 0}, Start);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 0);
-    news.followerHas("e1", {10, 0}, Start);
+    news.recordPoll("e1", {10, 0}, Start);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 50);
 }
 
 TEST_CASE("a follower that stays behind for very long makes nothing confirmed that it has not got, and may catch up")
 {
     UpdateConfirmations news(Lease);
-    news.followerHas("e1", {1, 0}, Start);
+    news.recordPoll("e1", {1, 0}, Start);
     // For each n, own version 10 n goes with version n of the other host.
     constexpr std::uint64_t Many = 100000;
     for (std::uint64_t n = 1; n <= Many; ++n) {
         news.merged("c2", "x", n, 10 * n);
     }
     for (const std::uint64_t has : {9UL, 10UL, 19UL, 25UL, 999UL, 500000UL, 999999UL}) {
-        news.followerHas("e1", {has, 0}, Start);
+        news.recordPoll("e1", {has, 0}, Start);
         CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion <= has / 10);
     }
-    news.followerHas("e1", {10 * Many, 0}, Start);
+    news.recordPoll("e1", {10 * Many, 0}, Start);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == Many);
 }
 
@@ -223,7 +223,7 @@
     for (std::uint64_t n = 1; n <= 5000; ++n) {
         news.merged("c2", "x", n, 10 * n);
         const std::uint64_t has = n > Behind ? n - Behind : 0;
-        news.followerHas("e1", {10 * has, 0}, Start);
+        news.recordPoll("e1", {10 * has, 0}, Start);
         REQUIRE(news.confirmedTo("c2", "x", 0, Start).registryVersion == has);
     }
 }
@@ -231,7 +231,7 @@
 TEST_CASE("forgetting drops who is not known any more, and changes nothing for followers in lease and known peers")
 {
     UpdateConfirmations news(Lease);
-    news.followerHas("e1", {4, 0}, Start);
+    news.recordPoll("e1", {4, 0}, Start);
     news.merged("c2", "x", 30, 5);
     news.merged("c3", "v", 70, 5);
     news.peerConfirmed("c2", {9, 0});
@@ -250,18 +250,18 @@
     // Two control hosts, a and b; the entry host follows a and then b, before a hears of a departure.
     UpdateConfirmations a(Lease);
     UpdateConfirmations b(Lease);
-    a.followerHas("e1", {4, 0}, Start);
+    a.recordPoll("e1", {4, 0}, Start);
     const UpdateVersions departure{5, 0};
     b.merged("a", "x", 5, 2);
     // b confirmed just before the host came to it. It is a that waits for the host.
     a.peerConfirmed("b", b.confirmedTo("a", "x", 0, Start + 10ms));
-    b.followerHas("e1", {0, 0}, Start + 20ms);
+    b.recordPoll("e1", {0, 0}, Start + 20ms);
     CHECK(a.missing(departure, {"b"}, Start + 20ms) == Names{"e1"});
     // From then on b confirms with the host, and both wait for it.
     a.peerConfirmed("b", b.confirmedTo("a", "x", 0, Start + 30ms));
     CHECK(a.missing(departure, {"b"}, Start + 30ms) == Names{"e1", "b"});
     CHECK(a.missing(departure, {"b"}, Start + Lease + 1ms) == Names{"b"});
-    b.followerHas("e1", {2, 0}, Start + 40ms);
+    b.recordPoll("e1", {2, 0}, Start + 40ms);
     a.peerConfirmed("b", b.confirmedTo("a", "x", 0, Start + 50ms));
     CHECK(a.missing(departure, {"b"}, Start + Lease + 1ms).empty());
 }
@@ -270,7 +270,7 @@
 {
     UpdateConfirmations news(Lease);
     news.merged("c2", "x", 30, 5);
-    news.followerHas("e1", {0, 0}, Start);
+    news.recordPoll("e1", {0, 0}, Start);
     CHECK(news.missing({5, 2}, {}, Start) == Names{"e1"});
     news.followerIsTold("e1", {5, 2});
     // While that reply is on its way the host acts upon nothing, and then upon it.
@@ -284,7 +284,7 @@
     CHECK(news.missing({5, 2}, {}, Start + Lease + 1ms).empty());
     CHECK(news.missing({6, 0}, {}, Start + 2 * Lease + 1ms).empty());
     // It has the reports, and fetches the routing of which it was told, or newer one.
-    news.followerHas("e1", {5, 0}, Start + 2 * Lease);
+    news.recordPoll("e1", {5, 0}, Start + 2 * Lease);
     CHECK(news.missing({5, 2}, {}, Start + 2 * Lease).empty());
     CHECK(news.missing({5, 3}, {}, Start + 2 * Lease) == Names{"e1"});
 }
@@ -294,7 +294,7 @@
     UpdateConfirmations news(Lease);
     news.followerLives("e1", Start);
     CHECK(news.missing({1, 0}, {}, Start) == Names{"e1"});
-    news.followerHas("e2", {3, 1}, Start);
+    news.recordPoll("e2", {3, 1}, Start);
     news.followerIsTold("e2", {9, 9});
     CHECK(news.missing({4, 0}, {}, Start) == Names{"e1", "e2"});
     news.followerIsTold("e3", {9, 9});
@@ -778,7 +778,7 @@
         std::pair<std::uint64_t, std::uint64_t> &newest = control.newest[ask.from];
         if (newest < std::pair(ask.fromLife, ask.number)) {
             newest = {ask.fromLife, ask.number};
-            control.confirmations.followerHas(idOf(entry, ask.fromLife), {since, ask.has.routingIndex}, m_now);
+            control.confirmations.recordPoll(idOf(entry, ask.fromLife), {since, ask.has.routingIndex}, m_now);
         } else {
             control.confirmations.followerLives(idOf(entry, ask.fromLife), m_now);
         }
