--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -317,7 +317,7 @@
     /// An entry host asked; it acts upon all of this host's news up to a position. The newest call counts.
     void recordPoll(const std::string &id, UpdateVersions has, TimePoint now);
     /// An entry host that acts upon nothing yet lives: it is still waited for by what it was told last.
-    void followerLives(const std::string &id, TimePoint now);
+    void renewFollowerLease(const std::string &id, TimePoint now);
     /// An entry host that has nothing gets a reply which brings it to a position. Until it arrives the host sends
     /// nothing to any target, so only what came to be after the reply was made has to wait for it. To be called with
     /// the reply to the newest ask alone.
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -99,7 +99,7 @@
     } else if (isLivingEntry) {
         // An ask that comes after a later one, over a connection that was slow, says nothing of what the host has now;
         // nor does a sign of life of one that waits for its first reply.
-        m_confirmations.followerLives(ask.self.id, now);
+        m_confirmations.renewFollowerLease(ask.self.id, now);
     }
     return heard;
 }
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -71,7 +71,7 @@
     collapse(now);
 }
 
-void UpdateConfirmations::followerLives(const std::string &id, TimePoint now)
+void UpdateConfirmations::renewFollowerLease(const std::string &id, TimePoint now)
 {
     m_followers[id].askedAt = now;
 }
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -279,7 +279,7 @@
     // What came to be later is not in that reply.
     CHECK(news.missing({6, 0}, {}, Start) == Names{"e1"});
     CHECK(news.missing({0, 3}, {}, Start) == Names{"e1"});
-    news.followerLives("e1", Start + Lease);
+    news.renewFollowerLease("e1", Start + Lease);
     CHECK(news.missing({6, 0}, {}, Start + Lease + 1ms) == Names{"e1"});
     CHECK(news.missing({5, 2}, {}, Start + Lease + 1ms).empty());
     CHECK(news.missing({6, 0}, {}, Start + 2 * Lease + 1ms).empty());
@@ -292,7 +292,7 @@
 TEST_CASE("a sign of life of a host that is not known, or what one is told that has something, confirms nothing")
 {
     UpdateConfirmations news(Lease);
-    news.followerLives("e1", Start);
+    news.renewFollowerLease("e1", Start);
     CHECK(news.missing({1, 0}, {}, Start) == Names{"e1"});
     news.recordPoll("e2", {3, 1}, Start);
     news.followerIsTold("e2", {9, 9});
@@ -780,7 +780,7 @@
             newest = {ask.fromLife, ask.number};
             control.confirmations.recordPoll(idOf(entry, ask.fromLife), {since, ask.has.routingIndex}, m_now);
         } else {
-            control.confirmations.followerLives(idOf(entry, ask.fromLife), m_now);
+            control.confirmations.renewFollowerLease(idOf(entry, ask.fromLife), m_now);
         }
         if (ask.fromLife == m_entries[entry].life) {
             m_entries[entry].heardBy.emplace_back(ask.to, m_now);
