--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -321,7 +321,7 @@
     /// An entry host that has nothing gets a reply which brings it to a position. Until it arrives the host sends
     /// nothing to any target, so only what came to be after the reply was made has to wait for it. To be called with
     /// the reply to the newest ask alone.
-    void followerIsTold(const std::string &id, UpdateVersions told);
+    void recordFirstReply(const std::string &id, UpdateVersions told);
     /// An entry host has ended, or follows another control host and each control host that relies on this one's
     /// confirmations has one of the other that counts it. Until then its lease goes on here.
     void followerLeft(const std::string &id);
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -222,7 +222,7 @@
         }
         const FleetWatchReply news = makeReply(watcher.ask, now);
         if (watcher.beginsHere) {
-            m_confirmations.followerIsTold(watcher.ask.self.id, {news.version, news.routingIndex});
+            m_confirmations.recordFirstReply(watcher.ask.self.id, {news.version, news.routingIndex});
         }
         std::string reply = encode(news);
         m_metrics.count(isEntry ? "pepperlug_news_bytes{to=\"entry\"}" : "pepperlug_news_bytes{to=\"control\"}",
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -79,7 +79,7 @@
 // Hosts that restart in series would otherwise hold up everything: each waits for its first reply about as long as
 // passes until the next one restarts. Measured by "hosts that restart in series hold up neither departures nor
 // changes": nothing is acknowledged in 2 s without it, and all with it.
-void UpdateConfirmations::followerIsTold(const std::string &id, UpdateVersions told)
+void UpdateConfirmations::recordFirstReply(const std::string &id, UpdateVersions told)
 {
     const auto it = m_followers.find(id);
     const bool hasNothing = it != m_followers.end() && it->second.has.registryVersion == 0
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -272,7 +272,7 @@
     news.merged("c2", "x", 30, 5);
     news.recordPoll("e1", {0, 0}, Start);
     CHECK(news.missing({5, 2}, {}, Start) == Names{"e1"});
-    news.followerIsTold("e1", {5, 2});
+    news.recordFirstReply("e1", {5, 2});
     // While that reply is on its way the host acts upon nothing, and then upon it.
     CHECK(news.missing({5, 2}, {}, Start).empty());
     CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
@@ -295,9 +295,9 @@
     news.renewFollowerLease("e1", Start);
     CHECK(news.missing({1, 0}, {}, Start) == Names{"e1"});
     news.recordPoll("e2", {3, 1}, Start);
-    news.followerIsTold("e2", {9, 9});
+    news.recordFirstReply("e2", {9, 9});
     CHECK(news.missing({4, 0}, {}, Start) == Names{"e1", "e2"});
-    news.followerIsTold("e3", {9, 9});
+    news.recordFirstReply("e3", {9, 9});
     CHECK(news.missing({9, 9}, {}, Start) == Names{"e1", "e2"});
 }
 
@@ -382,7 +382,7 @@
 ///  - A control host that is down is waited for, by what it confirmed last, until a lease after its end: by then its
 ///    followers have asked elsewhere, or are out of lease.
 ///  - An ask that comes after a later one says nothing of what its host has now, only that it lives.
-///  - followerIsTold() is called with each reply to an ask of an entry host that has nothing yet.
+///  - recordFirstReply() is called with each reply to an ask of an entry host that has nothing yet.
 ///  - followerLeft() is called for entry hosts that have ended, and never for one that has moved: the control host that
 ///    it left goes on counting it, also in what it confirms to third ones, which may not have heard yet that another
 ///    one counts it.
@@ -760,8 +760,8 @@
         const bool hasNothing = !isControl(ask.from) && ask.epoch == 0 && ask.has.routingIndex == 0;
         if (hasNothing && isNoted(control, ask)) {
             const ModelReply &reply = m_replies.back();
-            control.confirmations.followerIsTold(idOf(ask.from - controls(), ask.fromLife),
-                                                 {reply.version, reply.routing});
+            control.confirmations.recordFirstReply(idOf(ask.from - controls(), ask.fromLife),
+                                                   {reply.version, reply.routing});
         }
     }
 
