--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -324,7 +324,7 @@
     void recordFirstReply(const std::string &id, UpdateVersions told);
     /// An entry host has ended, or follows another control host and each control host that relies on this one's
     /// confirmations has one of the other that counts it. Until then its lease goes on here.
-    void followerLeft(const std::string &id);
+    void removeFollower(const std::string &id);
     /// All that another control host told up to `theirs` has been taken over; this host's own registry version is then
     /// `own`. `epoch` names the other host's life: its versions begin anew with each.
     void merged(const std::string &peer, const std::string &epoch, std::uint64_t theirs, std::uint64_t own);
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -44,7 +44,7 @@
         return;
     }
     if (self.presence == Presence::Gone) {
-        m_confirmations.followerLeft(self.id);
+        m_confirmations.removeFollower(self.id);
         return;
     }
     const std::optional<UpdateConfirmations::Follower> before = m_confirmations.follower(self.id);
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -97,7 +97,7 @@
     return it == m_followers.end() ? std::nullopt : std::optional(it->second);
 }
 
-void UpdateConfirmations::followerLeft(const std::string &id)
+void UpdateConfirmations::removeFollower(const std::string &id)
 {
     m_followers.erase(id);
 }
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -82,10 +82,10 @@
     news.merged("c2", "x", 30, 5);
     news.recordPoll("e1", {4, 1}, Start);
     CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
-    news.followerLeft("e1");
+    news.removeFollower("e1");
     CHECK(news.missing({5, 2}, {}, Start).empty());
     CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
-    news.followerLeft("e1"); // it may be told twice
+    news.removeFollower("e1"); // it may be told twice
 }
 
 TEST_CASE("control hosts that live are waited for until they confirm; the newest confirmation counts")
@@ -383,7 +383,8 @@
 ///    followers have asked elsewhere, or are out of lease.
 ///  - An ask that comes after a later one says nothing of what its host has now, only that it lives.
 ///  - recordFirstReply() is called with each reply to an ask of an entry host that has nothing yet.
-///  - followerLeft() is called for entry hosts that have ended, and never for one that has moved: the control host that
+///  - removeFollower() is called for entry hosts that have ended, and never for one that has moved: the control host
+///  that
 ///    it left goes on counting it, also in what it confirms to third ones, which may not have heard yet that another
 ///    one counts it.
 class Model
@@ -506,7 +507,7 @@
     void restartEntry(std::size_t entry)
     {
         ModelEntry &host = m_entries[entry];
-        m_controls[host.follows].confirmations.followerLeft(idOf(entry, host.life));
+        m_controls[host.follows].confirmations.removeFollower(idOf(entry, host.life));
         ModelEntry fresh;
         fresh.life = host.life + 1;
         fresh.follows = host.follows;
