--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -327,10 +327,10 @@
     void removeFollower(const std::string &id);
     /// All that another control host told up to `theirs` has been taken over; this host's own registry version is then
     /// `own`. `epoch` names the other host's life: its versions begin anew with each.
-    void merged(const std::string &peer, const std::string &epoch, std::uint64_t theirs, std::uint64_t own);
+    void recordMerge(const std::string &peer, const std::string &epoch, std::uint64_t theirs, std::uint64_t own);
     /// Up to which position of the other host's news this host and all its followers in lease have come. `reports` is 0
-    /// if the epoch is not the one of merged(); `routing` is the lowest of `ownRouting`, the log index applied here,
-    /// and of the followers'.
+    /// if the epoch is not the one of recordMerge(); `routing` is the lowest of `ownRouting`, the log index applied
+    /// here, and of the followers'.
     UpdateVersions confirmedTo(const std::string &peer, const std::string &epoch, std::uint64_t ownRouting,
                                TimePoint now) const;
     /// Another control host confirmed this host's news, for itself and its followers. The caller has checked that the
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -241,7 +241,7 @@
         isAllKnown = m_registry.merge(reply.changes, now);
         if (isAllKnown) {
             // Followers are told of changes alone, so what they have to come to is the newest of these.
-            m_confirmations.merged(receipt.from.text(), reply.epoch, reply.version, m_registry.changedVersion());
+            m_confirmations.recordMerge(receipt.from.text(), reply.epoch, reply.version, m_registry.changedVersion());
         }
         hearSuspects(reply.suspects.reports, false, now);
         hearBackpressure(reply.backpressure.reports, false, now);
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -102,8 +102,8 @@
     m_followers.erase(id);
 }
 
-void UpdateConfirmations::merged(const std::string &peer, const std::string &epoch, std::uint64_t theirs,
-                                 std::uint64_t own)
+void UpdateConfirmations::recordMerge(const std::string &peer, const std::string &epoch, std::uint64_t theirs,
+                                      std::uint64_t own)
 {
     MergedNews &news = m_merged[peer];
     if (news.epoch != epoch) {
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -79,7 +79,7 @@
 TEST_CASE("a follower that has left is not waited for")
 {
     UpdateConfirmations news(Lease);
-    news.merged("c2", "x", 30, 5);
+    news.recordMerge("c2", "x", 30, 5);
     news.recordPoll("e1", {4, 1}, Start);
     CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
     news.removeFollower("e1");
@@ -114,13 +114,13 @@
 {
     UpdateConfirmations news(Lease);
     CHECK(news.confirmedTo("c2", "x", 4, Start) == UpdateVersions{0, 4});
-    news.merged("c2", "x", 30, 5);
+    news.recordMerge("c2", "x", 30, 5);
     CHECK(news.confirmedTo("c2", "x", 4, Start) == UpdateVersions{30, 4});
     news.recordPoll("e1", {5, 4}, Start);
     news.recordPoll("e2", {7, 4}, Start);
-    news.merged("c2", "x", 40, 8);
-    news.merged("c2", "x", 50, 10);
-    news.merged("c2", "x", 60, 12);
+    news.recordMerge("c2", "x", 40, 8);
+    news.recordMerge("c2", "x", 50, 10);
+    news.recordMerge("c2", "x", 60, 12);
     struct Case {
         UpdateVersions e1;
         UpdateVersions e2;
@@ -143,7 +143,7 @@
 TEST_CASE("followers whose lease is over hold no confirmation back; one that is new with nothing does")
 {
     UpdateConfirmations news(Lease);
-    news.merged("c2", "x", 30, 5);
+    news.recordMerge("c2", "x", 30, 5);
     news.recordPoll("e1", {4, 1}, Start);
     CHECK(news.confirmedTo("c2", "x", 2, Start + Lease) == UpdateVersions{0, 1});
     CHECK(news.confirmedTo("c2", "x", 2, Start + Lease + 1ms) == UpdateVersions{30, 2});
@@ -156,11 +156,11 @@
 TEST_CASE("reports are confirmed to the life of a control host that told them; routing means the same in each")
 {
     UpdateConfirmations news(Lease);
-    news.merged("c2", "x", 30, 5);
-    news.merged("c3", "v", 70, 6);
+    news.recordMerge("c2", "x", 30, 5);
+    news.recordMerge("c3", "v", 70, 6);
     CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
     CHECK(news.confirmedTo("c9", "x", 3, Start) == UpdateVersions{0, 3});
-    news.merged("c2", "y", 2, 9);
+    news.recordMerge("c2", "y", 2, 9);
     CHECK(news.confirmedTo("c2", "x", 3, Start) == UpdateVersions{0, 3});
     CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{2, 3});
     news.recordPoll("e1", {8, 3}, Start);
@@ -172,12 +172,12 @@
 {
     UpdateConfirmations news(Lease);
     news.recordPoll("e1", {5, 0}, Start);
-    news.merged("c2", "x", 30, 5);
-    news.merged("c2", "x", 31, 5);
+    news.recordMerge("c2", "x", 30, 5);
+    news.recordMerge("c2", "x", 31, 5);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
     // What was told before is not asked of followers again.
-    news.merged("c2", "x", 31, 9);
-    news.merged("c2", "x", 30, 9);
+    news.recordMerge("c2", "x", 31, 9);
+    news.recordMerge("c2", "x", 30, 9);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
     news.recordPoll("e1", {9, 0}, Start);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
@@ -187,9 +187,9 @@
 {
     UpdateConfirmations news(Lease);
     news.recordPoll("e1", {0, 0}, Start);
-    news.merged("c2", "x", 30, 5);
-    news.merged("c2", "x", 40, 8);
-    news.merged("c2", "x", 50, 10);
+    news.recordMerge("c2", "x", 30, 5);
+    news.recordMerge("c2", "x", 40, 8);
+    news.recordMerge("c2", "x", 50, 10);
     news.recordPoll("e1", {9, 0}, Start);
     CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 40);
     // The pair at 5 is no longer kept: a follower that goes back below 8 has to catch up first.
@@ -206,7 +206,7 @@
     // For each n, own version 10 n goes with version n of the other host.
     constexpr std::uint64_t Many = 100000;
     for (std::uint64_t n = 1; n <= Many; ++n) {
-        news.merged("c2", "x", n, 10 * n);
+        news.recordMerge("c2", "x", n, 10 * n);
     }
     for (const std::uint64_t has : {9UL, 10UL, 19UL, 25UL, 999UL, 500000UL, 999999UL}) {
         news.recordPoll("e1", {has, 0}, Start);
@@ -221,7 +221,7 @@
     UpdateConfirmations news(Lease);
     constexpr std::uint64_t Behind = 200;
     for (std::uint64_t n = 1; n <= 5000; ++n) {
-        news.merged("c2", "x", n, 10 * n);
+        news.recordMerge("c2", "x", n, 10 * n);
         const std::uint64_t has = n > Behind ? n - Behind : 0;
         news.recordPoll("e1", {10 * has, 0}, Start);
         REQUIRE(news.confirmedTo("c2", "x", 0, Start).registryVersion == has);
@@ -232,8 +232,8 @@
 {
     UpdateConfirmations news(Lease);
     news.recordPoll("e1", {4, 0}, Start);
-    news.merged("c2", "x", 30, 5);
-    news.merged("c3", "v", 70, 5);
+    news.recordMerge("c2", "x", 30, 5);
+    news.recordMerge("c3", "v", 70, 5);
     news.peerConfirmed("c2", {9, 0});
     news.peerConfirmed("c3", {9, 0});
     news.forget({"c2"}, Start + Lease);
@@ -252,7 +252,7 @@
     UpdateConfirmations b(Lease);
     a.recordPoll("e1", {4, 0}, Start);
     const UpdateVersions departure{5, 0};
-    b.merged("a", "x", 5, 2);
+    b.recordMerge("a", "x", 5, 2);
     // b confirmed just before the host came to it. It is a that waits for the host.
     a.peerConfirmed("b", b.confirmedTo("a", "x", 0, Start + 10ms));
     b.recordPoll("e1", {0, 0}, Start + 20ms);
@@ -269,7 +269,7 @@
 TEST_CASE("a follower that has nothing is waited for by what its first reply told it")
 {
     UpdateConfirmations news(Lease);
-    news.merged("c2", "x", 30, 5);
+    news.recordMerge("c2", "x", 30, 5);
     news.recordPoll("e1", {0, 0}, Start);
     CHECK(news.missing({5, 2}, {}, Start) == Names{"e1"});
     news.recordFirstReply("e1", {5, 2});
@@ -815,7 +815,8 @@
                 control.known[it] = ++control.version;
             }
         }
-        control.confirmations.merged(nameOf(reply.ask.to), std::to_string(reply.epoch), reply.version, control.version);
+        control.confirmations.recordMerge(nameOf(reply.ask.to), std::to_string(reply.epoch), reply.version,
+                                          control.version);
     }
 
     void onReplyToEntry(const ModelReply &reply)
