--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -331,8 +331,8 @@
     /// Up to which position of the other host's news this host and all its followers in lease have come. `reports` is 0
     /// if the epoch is not the one of recordMerge(); `routing` is the lowest of `ownRouting`, the log index applied
     /// here, and of the followers'.
-    UpdateVersions confirmedTo(const std::string &peer, const std::string &epoch, std::uint64_t ownRouting,
-                               TimePoint now) const;
+    UpdateVersions versionsConfirmedTo(const std::string &peer, const std::string &epoch, std::uint64_t ownRouting,
+                                       TimePoint now) const;
     /// Another control host confirmed this host's news, for itself and its followers. The caller has checked that the
     /// epoch is this host's. The newest call counts.
     void peerConfirmed(const std::string &peer, UpdateVersions upTo);
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -167,7 +167,7 @@
     if (isFollowedByNobody(now)) {
         return UpdateVersions::max();
     }
-    return knowsFollowers(now) ? m_confirmations.confirmedTo(to.text(), epoch, m_routing.index(), now)
+    return knowsFollowers(now) ? m_confirmations.versionsConfirmedTo(to.text(), epoch, m_routing.index(), now)
                                : UpdateVersions{};
 }
 
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -137,8 +137,8 @@
     }
 }
 
-UpdateVersions UpdateConfirmations::confirmedTo(const std::string &peer, const std::string &epoch,
-                                                std::uint64_t ownRouting, TimePoint now) const
+UpdateVersions UpdateConfirmations::versionsConfirmedTo(const std::string &peer, const std::string &epoch,
+                                                        std::uint64_t ownRouting, TimePoint now) const
 {
     const UpdateVersions lowest = lowestOfFollowers(now);
     // Routing is agreed on, so its index means the same everywhere, whoever told it.
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -81,10 +81,10 @@
     UpdateConfirmations news(Lease);
     news.recordMerge("c2", "x", 30, 5);
     news.recordPoll("e1", {4, 1}, Start);
-    CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
+    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
     news.removeFollower("e1");
     CHECK(news.missing({5, 2}, {}, Start).empty());
-    CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
+    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
     news.removeFollower("e1"); // it may be told twice
 }
 
@@ -113,9 +113,9 @@
 TEST_CASE("a control host confirms what all its followers have come to, and all of it if it has none")
 {
     UpdateConfirmations news(Lease);
-    CHECK(news.confirmedTo("c2", "x", 4, Start) == UpdateVersions{0, 4});
+    CHECK(news.versionsConfirmedTo("c2", "x", 4, Start) == UpdateVersions{0, 4});
     news.recordMerge("c2", "x", 30, 5);
-    CHECK(news.confirmedTo("c2", "x", 4, Start) == UpdateVersions{30, 4});
+    CHECK(news.versionsConfirmedTo("c2", "x", 4, Start) == UpdateVersions{30, 4});
     news.recordPoll("e1", {5, 4}, Start);
     news.recordPoll("e2", {7, 4}, Start);
     news.recordMerge("c2", "x", 40, 8);
@@ -136,7 +136,7 @@
         INFO(it.e1.registryVersion << " and " << it.e2.registryVersion);
         news.recordPoll("e1", it.e1, Start);
         news.recordPoll("e2", it.e2, Start);
-        CHECK(news.confirmedTo("c2", "x", 9, Start) == it.confirmed);
+        CHECK(news.versionsConfirmedTo("c2", "x", 9, Start) == it.confirmed);
     }
 }
 
@@ -145,12 +145,12 @@
     UpdateConfirmations news(Lease);
     news.recordMerge("c2", "x", 30, 5);
     news.recordPoll("e1", {4, 1}, Start);
-    CHECK(news.confirmedTo("c2", "x", 2, Start + Lease) == UpdateVersions{0, 1});
-    CHECK(news.confirmedTo("c2", "x", 2, Start + Lease + 1ms) == UpdateVersions{30, 2});
+    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start + Lease) == UpdateVersions{0, 1});
+    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start + Lease + 1ms) == UpdateVersions{30, 2});
     news.recordPoll("e2", {0, 0}, Start + 2s);
-    CHECK(news.confirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{0, 0});
+    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{0, 0});
     news.recordPoll("e2", {5, 2}, Start + 2s);
-    CHECK(news.confirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{30, 2});
+    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{30, 2});
 }
 
 TEST_CASE("reports are confirmed to the life of a control host that told them; routing means the same in each")
@@ -158,14 +158,14 @@
     UpdateConfirmations news(Lease);
     news.recordMerge("c2", "x", 30, 5);
     news.recordMerge("c3", "v", 70, 6);
-    CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
-    CHECK(news.confirmedTo("c9", "x", 3, Start) == UpdateVersions{0, 3});
+    CHECK(news.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
+    CHECK(news.versionsConfirmedTo("c9", "x", 3, Start) == UpdateVersions{0, 3});
     news.recordMerge("c2", "y", 2, 9);
-    CHECK(news.confirmedTo("c2", "x", 3, Start) == UpdateVersions{0, 3});
-    CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{2, 3});
+    CHECK(news.versionsConfirmedTo("c2", "x", 3, Start) == UpdateVersions{0, 3});
+    CHECK(news.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{2, 3});
     news.recordPoll("e1", {8, 3}, Start);
-    CHECK(news.confirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
-    CHECK(news.confirmedTo("c3", "v", 3, Start) == UpdateVersions{70, 3});
+    CHECK(news.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
+    CHECK(news.versionsConfirmedTo("c3", "v", 3, Start) == UpdateVersions{70, 3});
 }
 
 TEST_CASE("news that change nothing here are confirmed by whoever had come so far")
@@ -174,13 +174,13 @@
     news.recordPoll("e1", {5, 0}, Start);
     news.recordMerge("c2", "x", 30, 5);
     news.recordMerge("c2", "x", 31, 5);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
+    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
     // What was told before is not asked of followers again.
     news.recordMerge("c2", "x", 31, 9);
     news.recordMerge("c2", "x", 30, 9);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
+    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
     news.recordPoll("e1", {9, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 31);
+    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
 }
 
 TEST_CASE("pairs that all followers have reached collapse into the newest such pair")
@@ -191,12 +191,12 @@
     news.recordMerge("c2", "x", 40, 8);
     news.recordMerge("c2", "x", 50, 10);
     news.recordPoll("e1", {9, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 40);
+    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 40);
     // The pair at 5 is no longer kept: a follower that goes back below 8 has to catch up first.
     news.recordPoll("e1", {6, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 0);
+    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 0);
     news.recordPoll("e1", {10, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == 50);
+    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 50);
 }
 
 TEST_CASE("a follower that stays behind for very long makes nothing confirmed that it has not got, and may catch up")
@@ -210,10 +210,10 @@
     }
     for (const std::uint64_t has : {9UL, 10UL, 19UL, 25UL, 999UL, 500000UL, 999999UL}) {
         news.recordPoll("e1", {has, 0}, Start);
-        CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion <= has / 10);
+        CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion <= has / 10);
     }
     news.recordPoll("e1", {10 * Many, 0}, Start);
-    CHECK(news.confirmedTo("c2", "x", 0, Start).registryVersion == Many);
+    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == Many);
 }
 
 TEST_CASE("a follower that is always some replies behind is confirmed for step by step, however long this goes on")
@@ -224,7 +224,7 @@
         news.recordMerge("c2", "x", n, 10 * n);
         const std::uint64_t has = n > Behind ? n - Behind : 0;
         news.recordPoll("e1", {10 * has, 0}, Start);
-        REQUIRE(news.confirmedTo("c2", "x", 0, Start).registryVersion == has);
+        REQUIRE(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == has);
     }
 }
 
@@ -239,8 +239,8 @@
     news.forget({"c2"}, Start + Lease);
     CHECK(news.missing({5, 0}, {"c2", "c3"}, Start + Lease) == Names{"e1", "c3"});
     news.forget({"c2"}, Start + 10 * Lease);
-    CHECK(news.confirmedTo("c2", "x", 0, Start + 10 * Lease).registryVersion == 30);
-    CHECK(news.confirmedTo("c3", "v", 0, Start + 10 * Lease).registryVersion == 0);
+    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start + 10 * Lease).registryVersion == 30);
+    CHECK(news.versionsConfirmedTo("c3", "v", 0, Start + 10 * Lease).registryVersion == 0);
     // Also for a caller whose time was read earlier.
     CHECK(news.missing({5, 0}, {}, Start).empty());
 }
@@ -254,15 +254,15 @@
     const UpdateVersions departure{5, 0};
     b.recordMerge("a", "x", 5, 2);
     // b confirmed just before the host came to it. It is a that waits for the host.
-    a.peerConfirmed("b", b.confirmedTo("a", "x", 0, Start + 10ms));
+    a.peerConfirmed("b", b.versionsConfirmedTo("a", "x", 0, Start + 10ms));
     b.recordPoll("e1", {0, 0}, Start + 20ms);
     CHECK(a.missing(departure, {"b"}, Start + 20ms) == Names{"e1"});
     // From then on b confirms with the host, and both wait for it.
-    a.peerConfirmed("b", b.confirmedTo("a", "x", 0, Start + 30ms));
+    a.peerConfirmed("b", b.versionsConfirmedTo("a", "x", 0, Start + 30ms));
     CHECK(a.missing(departure, {"b"}, Start + 30ms) == Names{"e1", "b"});
     CHECK(a.missing(departure, {"b"}, Start + Lease + 1ms) == Names{"b"});
     b.recordPoll("e1", {2, 0}, Start + 40ms);
-    a.peerConfirmed("b", b.confirmedTo("a", "x", 0, Start + 50ms));
+    a.peerConfirmed("b", b.versionsConfirmedTo("a", "x", 0, Start + 50ms));
     CHECK(a.missing(departure, {"b"}, Start + Lease + 1ms).empty());
 }
 
@@ -275,7 +275,7 @@
     news.recordFirstReply("e1", {5, 2});
     // While that reply is on its way the host acts upon nothing, and then upon it.
     CHECK(news.missing({5, 2}, {}, Start).empty());
-    CHECK(news.confirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
+    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
     // What came to be later is not in that reply.
     CHECK(news.missing({6, 0}, {}, Start) == Names{"e1"});
     CHECK(news.missing({0, 3}, {}, Start) == Names{"e1"});
@@ -725,8 +725,8 @@
         ModelWatch &watch = control.watches[of];
         ModelAsk ask{host, control.life, of, ++watch.number, watch.epoch, {watch.since, 0}, {}};
         if (!isYoung(control)) {
-            ask.confirmed =
-                control.confirmations.confirmedTo(nameOf(of), std::to_string(watch.epoch), control.routing, m_now);
+            ask.confirmed = control.confirmations.versionsConfirmedTo(nameOf(of), std::to_string(watch.epoch),
+                                                                      control.routing, m_now);
         }
         m_asks.push_back(ask);
     }
