--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -335,7 +335,7 @@
                                        TimePoint now) const;
     /// Another control host confirmed this host's news, for itself and its followers. The caller has checked that the
     /// epoch is this host's. The newest call counts.
-    void peerConfirmed(const std::string &peer, UpdateVersions upTo);
+    void recordPeerConfirmation(const std::string &peer, UpdateVersions upTo);
     /// Who has not confirmed a position of this host's own news yet: followers in lease, and those of `peers` (the
     /// control hosts that live); empty if it holds everywhere. A 0 in the position asks for nothing.
     std::vector<std::string> missing(UpdateVersions position, const std::vector<std::string> &peers,
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -40,7 +40,7 @@
     if (self.role == HostRole::Control) {
         m_seenBy[self.peer] = ask.since;
         // Positions of an earlier life of this host mean nothing now.
-        m_confirmations.peerConfirmed(self.peer, isSameEpoch ? ask.confirmed : UpdateVersions{});
+        m_confirmations.recordPeerConfirmation(self.peer, isSameEpoch ? ask.confirmed : UpdateVersions{});
         return;
     }
     if (self.presence == Presence::Gone) {
@@ -100,7 +100,7 @@
         const std::lock_guard lock(m_mutex);
         const bool isSameEpoch = confirmation.epoch == m_epoch;
         if (isSameEpoch && isNewestOf(confirmation.peer, confirmation.host, confirmation.sequence)) {
-            m_confirmations.peerConfirmed(confirmation.peer, confirmation.upTo);
+            m_confirmations.recordPeerConfirmation(confirmation.peer, confirmation.upTo);
             settle(m_clock.now());
         }
     }
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -155,7 +155,7 @@
     return upTo;
 }
 
-void UpdateConfirmations::peerConfirmed(const std::string &peer, UpdateVersions upTo)
+void UpdateConfirmations::recordPeerConfirmation(const std::string &peer, UpdateVersions upTo)
 {
     m_confirmed[peer] = upTo;
 }
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -46,7 +46,7 @@
         news.recordPoll("e1", it.has, Start);
         CHECK(news.missing(it.wanted, {}, Start) == (it.isMissing ? Names{"e1"} : Names{}));
         UpdateConfirmations ofPeer(Lease);
-        ofPeer.peerConfirmed("c2", it.has);
+        ofPeer.recordPeerConfirmation("c2", it.has);
         CHECK(ofPeer.missing(it.wanted, {"c2"}, Start) == (it.isMissing ? Names{"c2"} : Names{}));
     }
 }
@@ -93,11 +93,11 @@
     UpdateConfirmations news(Lease);
     const UpdateVersions wanted{5, 0};
     CHECK(news.missing(wanted, {"c2", "c3"}, Start) == Names{"c2", "c3"});
-    news.peerConfirmed("c2", {5, 0});
+    news.recordPeerConfirmation("c2", {5, 0});
     CHECK(news.missing(wanted, {"c2", "c3"}, Start) == Names{"c3"});
     CHECK(news.missing(wanted, {"c2"}, Start).empty());
     // An entry host that knows less has come to it, or it has been started anew.
-    news.peerConfirmed("c2", {4, 0});
+    news.recordPeerConfirmation("c2", {4, 0});
     CHECK(news.missing(wanted, {"c2"}, Start) == Names{"c2"});
 }
 
@@ -106,7 +106,7 @@
     UpdateConfirmations news(Lease);
     news.recordPoll("e2", {1, 0}, Start);
     news.recordPoll("e1", {1, 0}, Start);
-    news.peerConfirmed("c9", {1, 0});
+    news.recordPeerConfirmation("c9", {1, 0});
     CHECK(news.missing({5, 0}, {"c3", "c2"}, Start) == Names{"e1", "e2", "c3", "c2"});
 }
 
@@ -234,8 +234,8 @@
     news.recordPoll("e1", {4, 0}, Start);
     news.recordMerge("c2", "x", 30, 5);
     news.recordMerge("c3", "v", 70, 5);
-    news.peerConfirmed("c2", {9, 0});
-    news.peerConfirmed("c3", {9, 0});
+    news.recordPeerConfirmation("c2", {9, 0});
+    news.recordPeerConfirmation("c3", {9, 0});
     news.forget({"c2"}, Start + Lease);
     CHECK(news.missing({5, 0}, {"c2", "c3"}, Start + Lease) == Names{"e1", "c3"});
     news.forget({"c2"}, Start + 10 * Lease);
@@ -254,15 +254,15 @@
     const UpdateVersions departure{5, 0};
     b.recordMerge("a", "x", 5, 2);
     // b confirmed just before the host came to it. It is a that waits for the host.
-    a.peerConfirmed("b", b.versionsConfirmedTo("a", "x", 0, Start + 10ms));
+    a.recordPeerConfirmation("b", b.versionsConfirmedTo("a", "x", 0, Start + 10ms));
     b.recordPoll("e1", {0, 0}, Start + 20ms);
     CHECK(a.missing(departure, {"b"}, Start + 20ms) == Names{"e1"});
     // From then on b confirms with the host, and both wait for it.
-    a.peerConfirmed("b", b.versionsConfirmedTo("a", "x", 0, Start + 30ms));
+    a.recordPeerConfirmation("b", b.versionsConfirmedTo("a", "x", 0, Start + 30ms));
     CHECK(a.missing(departure, {"b"}, Start + 30ms) == Names{"e1", "b"});
     CHECK(a.missing(departure, {"b"}, Start + Lease + 1ms) == Names{"b"});
     b.recordPoll("e1", {2, 0}, Start + 40ms);
-    a.peerConfirmed("b", b.versionsConfirmedTo("a", "x", 0, Start + 50ms));
+    a.recordPeerConfirmation("b", b.versionsConfirmedTo("a", "x", 0, Start + 50ms));
     CHECK(a.missing(departure, {"b"}, Start + Lease + 1ms).empty());
 }
 
@@ -753,7 +753,7 @@
         const std::uint64_t since = isThisLife ? ask.has.registryVersion : 0;
         if (isControl(ask.from)) {
             const std::uint64_t upTo = isThisLife ? ask.confirmed.registryVersion : 0;
-            control.confirmations.peerConfirmed(nameOf(ask.from), {upTo, ask.confirmed.routingIndex});
+            control.confirmations.recordPeerConfirmation(nameOf(ask.from), {upTo, ask.confirmed.routingIndex});
         } else {
             noteFollower(control, ask, since);
         }
