--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -338,8 +338,8 @@
     void recordPeerConfirmation(const std::string &peer, UpdateVersions upTo);
     /// Who has not confirmed a position of this host's own news yet: followers in lease, and those of `peers` (the
     /// control hosts that live); empty if it holds everywhere. A 0 in the position asks for nothing.
-    std::vector<std::string> missing(UpdateVersions position, const std::vector<std::string> &peers,
-                                     TimePoint now) const;
+    std::vector<std::string> unconfirmedHosts(UpdateVersions position, const std::vector<std::string> &peers,
+                                              TimePoint now) const;
     /// An entry host that asked here: what it has, and when it asked last.
     struct Follower {
         UpdateVersions has;
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -177,7 +177,7 @@
     if (!knowsFollowers(now)) {
         return {m_settings.name};
     }
-    return m_confirmations.missing(position, followedControlHosts(now), now);
+    return m_confirmations.unconfirmedHosts(position, followedControlHosts(now), now);
 }
 
 void RegistryDaemon::Impl::settle(TimePoint now)
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -160,8 +160,9 @@
     m_confirmed[peer] = upTo;
 }
 
-std::vector<std::string> UpdateConfirmations::missing(UpdateVersions position, const std::vector<std::string> &peers,
-                                                      TimePoint now) const
+std::vector<std::string> UpdateConfirmations::unconfirmedHosts(UpdateVersions position,
+                                                               const std::vector<std::string> &peers,
+                                                               TimePoint now) const
 {
     std::vector<std::string> names;
     for (const auto &[id, follower] : m_followers) {
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -44,10 +44,10 @@
         INFO(it.what);
         UpdateConfirmations news(Lease);
         news.recordPoll("e1", it.has, Start);
-        CHECK(news.missing(it.wanted, {}, Start) == (it.isMissing ? Names{"e1"} : Names{}));
+        CHECK(news.unconfirmedHosts(it.wanted, {}, Start) == (it.isMissing ? Names{"e1"} : Names{}));
         UpdateConfirmations ofPeer(Lease);
         ofPeer.recordPeerConfirmation("c2", it.has);
-        CHECK(ofPeer.missing(it.wanted, {"c2"}, Start) == (it.isMissing ? Names{"c2"} : Names{}));
+        CHECK(ofPeer.unconfirmedHosts(it.wanted, {"c2"}, Start) == (it.isMissing ? Names{"c2"} : Names{}));
     }
 }
 
@@ -57,13 +57,13 @@
     const UpdateVersions wanted{5, 0};
     news.recordPoll("e1", {4, 0}, Start);
     news.recordPoll("e2", {4, 0}, Start + 600ms);
-    CHECK(news.missing(wanted, {}, Start + Lease) == Names{"e1", "e2"});
-    CHECK(news.missing(wanted, {}, Start + Lease + 1ms) == Names{"e2"});
-    CHECK(news.missing(wanted, {}, Start + 600ms + Lease + 1ms).empty());
+    CHECK(news.unconfirmedHosts(wanted, {}, Start + Lease) == Names{"e1", "e2"});
+    CHECK(news.unconfirmedHosts(wanted, {}, Start + Lease + 1ms) == Names{"e2"});
+    CHECK(news.unconfirmedHosts(wanted, {}, Start + 600ms + Lease + 1ms).empty());
     news.recordPoll("e1", {4, 0}, Start + 5s);
-    CHECK(news.missing(wanted, {}, Start + 5s) == Names{"e1"});
+    CHECK(news.unconfirmedHosts(wanted, {}, Start + 5s) == Names{"e1"});
     news.recordPoll("e1", {5, 0}, Start + 5s);
-    CHECK(news.missing(wanted, {}, Start + 5s).empty());
+    CHECK(news.unconfirmedHosts(wanted, {}, Start + 5s).empty());
 }
 
 TEST_CASE("the newest ask of a follower counts, also where it goes back")
@@ -71,9 +71,9 @@
     UpdateConfirmations news(Lease);
     news.recordPoll("e1", {9, 9}, Start);
     news.recordPoll("e1", {0, 3}, Start + 1ms);
-    CHECK(news.missing({9, 0}, {}, Start + 1ms) == Names{"e1"});
-    CHECK(news.missing({0, 9}, {}, Start + 1ms) == Names{"e1"});
-    CHECK(news.missing({0, 3}, {}, Start + 1ms).empty());
+    CHECK(news.unconfirmedHosts({9, 0}, {}, Start + 1ms) == Names{"e1"});
+    CHECK(news.unconfirmedHosts({0, 9}, {}, Start + 1ms) == Names{"e1"});
+    CHECK(news.unconfirmedHosts({0, 3}, {}, Start + 1ms).empty());
 }
 
 TEST_CASE("a follower that has left is not waited for")
@@ -83,7 +83,7 @@
     news.recordPoll("e1", {4, 1}, Start);
     CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
     news.removeFollower("e1");
-    CHECK(news.missing({5, 2}, {}, Start).empty());
+    CHECK(news.unconfirmedHosts({5, 2}, {}, Start).empty());
     CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
     news.removeFollower("e1"); // it may be told twice
 }
@@ -92,13 +92,13 @@
 {
     UpdateConfirmations news(Lease);
     const UpdateVersions wanted{5, 0};
-    CHECK(news.missing(wanted, {"c2", "c3"}, Start) == Names{"c2", "c3"});
+    CHECK(news.unconfirmedHosts(wanted, {"c2", "c3"}, Start) == Names{"c2", "c3"});
     news.recordPeerConfirmation("c2", {5, 0});
-    CHECK(news.missing(wanted, {"c2", "c3"}, Start) == Names{"c3"});
-    CHECK(news.missing(wanted, {"c2"}, Start).empty());
+    CHECK(news.unconfirmedHosts(wanted, {"c2", "c3"}, Start) == Names{"c3"});
+    CHECK(news.unconfirmedHosts(wanted, {"c2"}, Start).empty());
     // An entry host that knows less has come to it, or it has been started anew.
     news.recordPeerConfirmation("c2", {4, 0});
-    CHECK(news.missing(wanted, {"c2"}, Start) == Names{"c2"});
+    CHECK(news.unconfirmedHosts(wanted, {"c2"}, Start) == Names{"c2"});
 }
 
 TEST_CASE("followers are named before control hosts, those that live only")
@@ -107,7 +107,7 @@
     news.recordPoll("e2", {1, 0}, Start);
     news.recordPoll("e1", {1, 0}, Start);
     news.recordPeerConfirmation("c9", {1, 0});
-    CHECK(news.missing({5, 0}, {"c3", "c2"}, Start) == Names{"e1", "e2", "c3", "c2"});
+    CHECK(news.unconfirmedHosts({5, 0}, {"c3", "c2"}, Start) == Names{"e1", "e2", "c3", "c2"});
 }
 
 TEST_CASE("a control host confirms what all its followers have come to, and all of it if it has none")
@@ -237,12 +237,12 @@
     news.recordPeerConfirmation("c2", {9, 0});
     news.recordPeerConfirmation("c3", {9, 0});
     news.forget({"c2"}, Start + Lease);
-    CHECK(news.missing({5, 0}, {"c2", "c3"}, Start + Lease) == Names{"e1", "c3"});
+    CHECK(news.unconfirmedHosts({5, 0}, {"c2", "c3"}, Start + Lease) == Names{"e1", "c3"});
     news.forget({"c2"}, Start + 10 * Lease);
     CHECK(news.versionsConfirmedTo("c2", "x", 0, Start + 10 * Lease).registryVersion == 30);
     CHECK(news.versionsConfirmedTo("c3", "v", 0, Start + 10 * Lease).registryVersion == 0);
     // Also for a caller whose time was read earlier.
-    CHECK(news.missing({5, 0}, {}, Start).empty());
+    CHECK(news.unconfirmedHosts({5, 0}, {}, Start).empty());
 }
 
 TEST_CASE("a host that moves is waited for where it left until its lease is over, and where it came from its first ask")
@@ -256,14 +256,14 @@
     // b confirmed just before the host came to it. It is a that waits for the host.
     a.recordPeerConfirmation("b", b.versionsConfirmedTo("a", "x", 0, Start + 10ms));
     b.recordPoll("e1", {0, 0}, Start + 20ms);
-    CHECK(a.missing(departure, {"b"}, Start + 20ms) == Names{"e1"});
+    CHECK(a.unconfirmedHosts(departure, {"b"}, Start + 20ms) == Names{"e1"});
     // From then on b confirms with the host, and both wait for it.
     a.recordPeerConfirmation("b", b.versionsConfirmedTo("a", "x", 0, Start + 30ms));
-    CHECK(a.missing(departure, {"b"}, Start + 30ms) == Names{"e1", "b"});
-    CHECK(a.missing(departure, {"b"}, Start + Lease + 1ms) == Names{"b"});
+    CHECK(a.unconfirmedHosts(departure, {"b"}, Start + 30ms) == Names{"e1", "b"});
+    CHECK(a.unconfirmedHosts(departure, {"b"}, Start + Lease + 1ms) == Names{"b"});
     b.recordPoll("e1", {2, 0}, Start + 40ms);
     a.recordPeerConfirmation("b", b.versionsConfirmedTo("a", "x", 0, Start + 50ms));
-    CHECK(a.missing(departure, {"b"}, Start + Lease + 1ms).empty());
+    CHECK(a.unconfirmedHosts(departure, {"b"}, Start + Lease + 1ms).empty());
 }
 
 TEST_CASE("a follower that has nothing is waited for by what its first reply told it")
@@ -271,34 +271,34 @@
     UpdateConfirmations news(Lease);
     news.recordMerge("c2", "x", 30, 5);
     news.recordPoll("e1", {0, 0}, Start);
-    CHECK(news.missing({5, 2}, {}, Start) == Names{"e1"});
+    CHECK(news.unconfirmedHosts({5, 2}, {}, Start) == Names{"e1"});
     news.recordFirstReply("e1", {5, 2});
     // While that reply is on its way the host acts upon nothing, and then upon it.
-    CHECK(news.missing({5, 2}, {}, Start).empty());
+    CHECK(news.unconfirmedHosts({5, 2}, {}, Start).empty());
     CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
     // What came to be later is not in that reply.
-    CHECK(news.missing({6, 0}, {}, Start) == Names{"e1"});
-    CHECK(news.missing({0, 3}, {}, Start) == Names{"e1"});
+    CHECK(news.unconfirmedHosts({6, 0}, {}, Start) == Names{"e1"});
+    CHECK(news.unconfirmedHosts({0, 3}, {}, Start) == Names{"e1"});
     news.renewFollowerLease("e1", Start + Lease);
-    CHECK(news.missing({6, 0}, {}, Start + Lease + 1ms) == Names{"e1"});
-    CHECK(news.missing({5, 2}, {}, Start + Lease + 1ms).empty());
-    CHECK(news.missing({6, 0}, {}, Start + 2 * Lease + 1ms).empty());
+    CHECK(news.unconfirmedHosts({6, 0}, {}, Start + Lease + 1ms) == Names{"e1"});
+    CHECK(news.unconfirmedHosts({5, 2}, {}, Start + Lease + 1ms).empty());
+    CHECK(news.unconfirmedHosts({6, 0}, {}, Start + 2 * Lease + 1ms).empty());
     // It has the reports, and fetches the routing of which it was told, or newer one.
     news.recordPoll("e1", {5, 0}, Start + 2 * Lease);
-    CHECK(news.missing({5, 2}, {}, Start + 2 * Lease).empty());
-    CHECK(news.missing({5, 3}, {}, Start + 2 * Lease) == Names{"e1"});
+    CHECK(news.unconfirmedHosts({5, 2}, {}, Start + 2 * Lease).empty());
+    CHECK(news.unconfirmedHosts({5, 3}, {}, Start + 2 * Lease) == Names{"e1"});
 }
 
 TEST_CASE("a sign of life of a host that is not known, or what one is told that has something, confirms nothing")
 {
     UpdateConfirmations news(Lease);
     news.renewFollowerLease("e1", Start);
-    CHECK(news.missing({1, 0}, {}, Start) == Names{"e1"});
+    CHECK(news.unconfirmedHosts({1, 0}, {}, Start) == Names{"e1"});
     news.recordPoll("e2", {3, 1}, Start);
     news.recordFirstReply("e2", {9, 9});
-    CHECK(news.missing({4, 0}, {}, Start) == Names{"e1", "e2"});
+    CHECK(news.unconfirmedHosts({4, 0}, {}, Start) == Names{"e1", "e2"});
     news.recordFirstReply("e3", {9, 9});
-    CHECK(news.missing({9, 9}, {}, Start) == Names{"e1", "e2"});
+    CHECK(news.unconfirmedHosts({9, 9}, {}, Start) == Names{"e1", "e2"});
 }
 
 namespace
@@ -616,7 +616,7 @@
             }
             const Names peers = waitedFor(n);
             for (News &it : control.news) {
-                const bool isDone = control.confirmations.missing(it.position, peers, m_now).empty();
+                const bool isDone = control.confirmations.unconfirmedHosts(it.position, peers, m_now).empty();
                 it.isAcknowledged = it.isAcknowledged || isDone;
                 isTrue = isTrue && (!isDone || holds(it));
                 if (isDone) {
