--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -350,7 +350,7 @@
     std::optional<Follower> follower(const std::string &id) const;
     /// Forgets followers whose lease has been over for long and peers that are not among the known ones; to be called
     /// now and then.
-    void forget(const std::vector<std::string> &peers, TimePoint now);
+    void removeExpired(const std::vector<std::string> &peers, TimePoint now);
 
 private:
     /// Whoever has come to `own` of this host's versions has all of the other host's news up to `theirs`.
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -183,7 +183,7 @@
     }
     m_nextSelfReport = now + SelfReportInterval;
     m_registry.receive(selfReport(), now);
-    m_confirmations.forget(followedControlHosts(now), now);
+    m_confirmations.removeExpired(followedControlHosts(now), now);
 }
 
 void RegistryDaemon::Impl::expire(TimePoint now)
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -180,7 +180,7 @@
     return names;
 }
 
-void UpdateConfirmations::forget(const std::vector<std::string> &peers, TimePoint now)
+void UpdateConfirmations::removeExpired(const std::vector<std::string> &peers, TimePoint now)
 {
     const auto isUnknown = [&](const auto &it) {
         return std::find(peers.begin(), peers.end(), it.first) == peers.end();
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -236,9 +236,9 @@
     news.recordMerge("c3", "v", 70, 5);
     news.recordPeerConfirmation("c2", {9, 0});
     news.recordPeerConfirmation("c3", {9, 0});
-    news.forget({"c2"}, Start + Lease);
+    news.removeExpired({"c2"}, Start + Lease);
     CHECK(news.unconfirmedHosts({5, 0}, {"c2", "c3"}, Start + Lease) == Names{"e1", "c3"});
-    news.forget({"c2"}, Start + 10 * Lease);
+    news.removeExpired({"c2"}, Start + 10 * Lease);
     CHECK(news.versionsConfirmedTo("c2", "x", 0, Start + 10 * Lease).registryVersion == 30);
     CHECK(news.versionsConfirmedTo("c3", "v", 0, Start + 10 * Lease).registryVersion == 0);
     // Also for a caller whose time was read earlier.
@@ -602,7 +602,7 @@
                 known.push_back(nameOf(n));
             }
         }
-        m_controls[at].confirmations.forget(known, m_now);
+        m_controls[at].confirmations.removeExpired(known, m_now);
     }
 
     /// Acknowledges what nobody misses. Returns whether all that nobody misses in this moment holds.
