--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -342,7 +342,7 @@
                                               TimePoint now) const;
     /// An entry host that asked here: what it has, and when it asked last.
     struct Follower {
-        UpdateVersions has;
+        UpdateVersions applied;
         TimePoint askedAt{};
         std::uint64_t toldRouting = 0; ///< log index that it gets at least, while it has no routing
     };
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -54,7 +54,7 @@
         m_events.state("follower-was-late",
                        {{"host", self.id},
                         {"silent_ms", std::chrono::duration_cast<Milliseconds>(now - before->askedAt).count()},
-                        {"had_routing", before->has.routingIndex},
+                        {"had_routing", before->applied.routingIndex},
                         {"has_routing", ask.routingIndex}});
     }
     m_confirmations.recordPoll(self.id, {ask.since, std::max(ask.routingIndex, ask.confirmed.routingIndex)}, now);
@@ -74,8 +74,8 @@
     for (const std::string &name : firstOf(names)) {
         nlohmann::json host{{"host", name}};
         if (const std::optional<UpdateConfirmations::Follower> follower = m_confirmations.follower(name)) {
-            host["routing"] = follower->has.routingIndex;
-            host["reports"] = follower->has.registryVersion;
+            host["routing"] = follower->applied.routingIndex;
+            host["reports"] = follower->applied.registryVersion;
             host["asked_ms_ago"] = std::chrono::duration_cast<Milliseconds>(now - follower->askedAt).count();
         }
         hosts.push_back(std::move(host));
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -54,8 +54,8 @@
         if (!isInLease(follower, now)) {
             continue;
         }
-        lowest.registryVersion = std::min(lowest.registryVersion, follower.has.registryVersion);
-        lowest.routingIndex = std::min(lowest.routingIndex, follower.has.routingIndex);
+        lowest.registryVersion = std::min(lowest.registryVersion, follower.applied.registryVersion);
+        lowest.routingIndex = std::min(lowest.routingIndex, follower.applied.routingIndex);
     }
     return lowest;
 }
@@ -64,9 +64,9 @@
 {
     Follower &follower = m_followers[id];
     follower.askedAt = now;
-    follower.has = has;
+    follower.applied = has;
     if (has.routingIndex == 0) {
-        follower.has.routingIndex = follower.toldRouting;
+        follower.applied.routingIndex = follower.toldRouting;
     }
     collapse(now);
 }
@@ -82,12 +82,12 @@
 void UpdateConfirmations::recordFirstReply(const std::string &id, UpdateVersions told)
 {
     const auto it = m_followers.find(id);
-    const bool hasNothing = it != m_followers.end() && it->second.has.registryVersion == 0
-        && it->second.has.routingIndex == it->second.toldRouting;
+    const bool hasNothing = it != m_followers.end() && it->second.applied.registryVersion == 0
+        && it->second.applied.routingIndex == it->second.toldRouting;
     if (!hasNothing) {
         return;
     }
-    it->second.has = told;
+    it->second.applied = told;
     it->second.toldRouting = told.routingIndex;
 }
 
@@ -166,7 +166,7 @@
 {
     std::vector<std::string> names;
     for (const auto &[id, follower] : m_followers) {
-        if (isInLease(follower, now) && !follower.has.reaches(position)) {
+        if (isInLease(follower, now) && !follower.applied.reaches(position)) {
             names.push_back(id);
         }
     }
