--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -343,7 +343,7 @@
     /// An entry host that asked here: what it has, and when it asked last.
     struct Follower {
         UpdateVersions applied;
-        TimePoint askedAt{};
+        TimePoint polledAt{};
         std::uint64_t toldRouting = 0; ///< log index that it gets at least, while it has no routing
     };
     /// Nothing if the entry host is not known.
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -48,12 +48,12 @@
         return;
     }
     const std::optional<UpdateConfirmations::Follower> before = m_confirmations.follower(self.id);
-    if (before && now - before->askedAt > m_settings.newsLease) {
+    if (before && now - before->polledAt > m_settings.newsLease) {
         // It was not waited for meanwhile, but may have gone on by what it knew.
         m_metrics.count("pepperlug_followers_out_of_lease");
         m_events.state("follower-was-late",
                        {{"host", self.id},
-                        {"silent_ms", std::chrono::duration_cast<Milliseconds>(now - before->askedAt).count()},
+                        {"silent_ms", std::chrono::duration_cast<Milliseconds>(now - before->polledAt).count()},
                         {"had_routing", before->applied.routingIndex},
                         {"has_routing", ask.routingIndex}});
     }
@@ -76,7 +76,7 @@
         if (const std::optional<UpdateConfirmations::Follower> follower = m_confirmations.follower(name)) {
             host["routing"] = follower->applied.routingIndex;
             host["reports"] = follower->applied.registryVersion;
-            host["asked_ms_ago"] = std::chrono::duration_cast<Milliseconds>(now - follower->askedAt).count();
+            host["asked_ms_ago"] = std::chrono::duration_cast<Milliseconds>(now - follower->polledAt).count();
         }
         hosts.push_back(std::move(host));
     }
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -44,7 +44,7 @@
 
 bool UpdateConfirmations::isInLease(const Follower &follower, TimePoint now) const
 {
-    return now - follower.askedAt <= m_lease;
+    return now - follower.polledAt <= m_lease;
 }
 
 UpdateVersions UpdateConfirmations::lowestOfFollowers(TimePoint now) const
@@ -63,7 +63,7 @@
 void UpdateConfirmations::recordPoll(const std::string &id, UpdateVersions has, TimePoint now)
 {
     Follower &follower = m_followers[id];
-    follower.askedAt = now;
+    follower.polledAt = now;
     follower.applied = has;
     if (has.routingIndex == 0) {
         follower.applied.routingIndex = follower.toldRouting;
@@ -73,7 +73,7 @@
 
 void UpdateConfirmations::renewFollowerLease(const std::string &id, TimePoint now)
 {
-    m_followers[id].askedAt = now;
+    m_followers[id].polledAt = now;
 }
 
 // Hosts that restart in series would otherwise hold up everything: each waits for its first reply about as long as
@@ -188,7 +188,7 @@
     std::erase_if(m_merged, isUnknown);
     std::erase_if(m_confirmed, isUnknown);
     std::erase_if(m_followers,
-                  [&](const auto &it) { return now - it.second.askedAt > LeasesUntilForgotten * m_lease; });
+                  [&](const auto &it) { return now - it.second.polledAt > LeasesUntilForgotten * m_lease; });
     collapse(now);
 }
 
