--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -344,7 +344,7 @@
     struct Follower {
         UpdateVersions applied;
         TimePoint polledAt{};
-        std::uint64_t toldRouting = 0; ///< log index that it gets at least, while it has no routing
+        std::uint64_t sentRoutingIndex = 0; ///< log index that it gets at least, while it has no routing
     };
     /// Nothing if the entry host is not known.
     std::optional<Follower> follower(const std::string &id) const;
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -66,7 +66,7 @@
     follower.polledAt = now;
     follower.applied = has;
     if (has.routingIndex == 0) {
-        follower.applied.routingIndex = follower.toldRouting;
+        follower.applied.routingIndex = follower.sentRoutingIndex;
     }
     collapse(now);
 }
@@ -83,12 +83,12 @@
 {
     const auto it = m_followers.find(id);
     const bool hasNothing = it != m_followers.end() && it->second.applied.registryVersion == 0
-        && it->second.applied.routingIndex == it->second.toldRouting;
+        && it->second.applied.routingIndex == it->second.sentRoutingIndex;
     if (!hasNothing) {
         return;
     }
     it->second.applied = told;
-    it->second.toldRouting = told.routingIndex;
+    it->second.sentRoutingIndex = told.routingIndex;
 }
 
 std::optional<UpdateConfirmations::Follower> UpdateConfirmations::follower(const std::string &id) const
