--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -175,14 +175,14 @@
 /// An entry host that asked no control host for so long is not waited for when something is acknowledged, and by its
 /// own clock knows it. It asks twice a second, so that two asks in a row may fail; it ends well before what is promised
 /// of acknowledged departures and changes, 2 s and more.
-constexpr Milliseconds NewsLease{1800};
+constexpr Milliseconds UpdateLease{1800};
 /// An entry host that has heard nothing for so many leases is cut off, as far as it can know: an ask that fails is
 /// given up after 1.2 s, and the next control host is asked.
 constexpr int CutOffLeases = 2;
 
 struct RegistrySettings {
     Duration targetExpiry = std::chrono::seconds(6); ///< a target that was not heard for so long is silent
-    Duration hostExpiry = NewsLease; ///< the same for hosts
+    Duration hostExpiry = UpdateLease; ///< the same for hosts
     Duration forgetAfter = std::chrono::seconds(60); ///< silent or gone reports are kept so long
 };
 
--- a/unittests/Balance/BalancerTest.cpp
+++ b/unittests/Balance/BalancerTest.cpp
@@ -102,7 +102,7 @@
     host.reduce(NewsReceived{host.now, host.now});
     CHECK(refusalOf("/new/x") == Refusal::RoutingLate);
     host.reduce(NewsReceived{host.now});
-    host.now += NewsLease + 1ms;
+    host.now += UpdateLease + 1ms;
     CHECK(refusalOf("/new/x") == Refusal::RoutingLate);
     CHECK(host.find<RefuseRequest>()->retryAfter > 0ms);
     host.request("/read/x");
--- a/unittests/Balance/TenantTest.cpp
+++ b/unittests/Balance/TenantTest.cpp
@@ -76,7 +76,7 @@
 TEST_CASE("a host that may not have heard of a new key does not deny it")
 {
     TenantHost host;
-    host.now += NewsLease + 1ms;
+    host.now += UpdateLease + 1ms;
     host.ask("/once/x", "k9");
     CHECK(host.refusal() == Refusal::RoutingLate);
     host.hearNews();
--- a/unittests/InForce/AcknowledgedTest.cpp
+++ b/unittests/InForce/AcknowledgedTest.cpp
@@ -28,7 +28,7 @@
 
 TEST_CASE("a route that was removed is not served once this is acknowledged, however late the news")
 {
-    ServingSystem serving(ControlLink::Proxied, NewsLease, Acknowledge);
+    ServingSystem serving(ControlLink::Proxied, UpdateLease, Acknowledge);
     REQUIRE(serving.statusOf("/p/x") == 200);
     serving.system.proxy->narrow(NarrowRate);
     serving.system.putTable("r3", "r2", incompressiblePrefixes(ManyRoutes));
--- a/unittests/InForce/RoutesChangeTest.cpp
+++ b/unittests/InForce/RoutesChangeTest.cpp
@@ -172,7 +172,7 @@
     const RequestId waiting = host.request("/once/x");
     const TimePoint heardAt = host.now;
     host.reduce(NewsReceived{host.now, heardAt});
-    host.now += NewsLease;
+    host.now += UpdateLease;
     host.reduce(BalanceTick{});
     CHECK_FALSE(host.balancer.isSuspended());
     CHECK(host.balancer.maySend(waiting, 1));
@@ -212,7 +212,7 @@
     SECTION("it is cut off, so nobody waits for it")
     {
         host.reduce(NewsReceived{host.now, heardAt});
-        host.now += 2 * NewsLease;
+        host.now += 2 * UpdateLease;
         host.reduce(BalanceTick{});
         REQUIRE(host.balancer.isSuspended());
         host.now += 1ms;
@@ -236,7 +236,7 @@
     {
     }
     host.reduce(news);
-    host.now += 10 * NewsLease;
+    host.now += 10 * UpdateLease;
     host.reduce(BalanceTick{});
     CHECK_FALSE(host.balancer.isSuspended());
     host.request("/read/x");
--- a/unittests/LateNews/LateNewsTest.cpp
+++ b/unittests/LateNews/LateNewsTest.cpp
@@ -86,7 +86,7 @@
 
 TEST_CASE("a host whose news trickle in is waited for as long as it lives")
 {
-    ServingSystem serving(ControlLink::Proxied, NewsLease);
+    ServingSystem serving(ControlLink::Proxied, UpdateLease);
     System &system = serving.system;
     system.proxy->narrow(TrickleRate);
     // The change needs several times as long as a silent host is waited for.
@@ -105,7 +105,7 @@
 
 TEST_CASE("a host that is cut off serves on, and does not deny routes that it may have missed")
 {
-    ServingSystem serving(ControlLink::Proxied, NewsLease);
+    ServingSystem serving(ControlLink::Proxied, UpdateLease);
     CHECK(serving.statusOf("/new/x") == 404);
     serving.system.proxy->set(soak::LinkFault::Silent);
     CHECK(System::eventually([&] { return serving.statusOf("/new/x") == 503; }));
--- a/unittests/Quota/QuotaNetwork.h
+++ b/unittests/Quota/QuotaNetwork.h
@@ -324,7 +324,7 @@
 
     void follow(Control &control)
     {
-        if (m_now - control.startedAt <= NewsLease && control.startedAt > m_start) {
+        if (m_now - control.startedAt <= UpdateLease && control.startedAt > m_start) {
             return; // it may know a part of the hosts only
         }
         std::unordered_map<std::uint64_t, double> sums;
