--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -47,8 +47,8 @@
     std::optional<double> limitOf(const Incarnation &target) const;
     bool isLeaving(const Incarnation &target) const;
     /// What changed since a version, for a reader; with version 0 all that is known.
-    std::vector<BackpressureReport> changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const;
-    bool hasChangedSince(std::uint64_t version, NewsReader reader) const;
+    std::vector<BackpressureReport> changedSince(std::uint64_t version, UpdateRecipient reader, TimePoint now) const;
+    bool hasChangedSince(std::uint64_t version, UpdateRecipient reader) const;
     std::uint64_t version() const;
     /// Targets that name a limit.
     std::size_t limited() const;
--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -81,8 +81,8 @@
     std::size_t endsUnder(const std::string &digest) const;
     /// What changed since a version, for a reader; with version 0 all that matters to it. To an entry host a request
     /// matters once at least two targets ended under it.
-    std::vector<SuspectReport> changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const;
-    bool hasChangedSince(std::uint64_t version, NewsReader reader) const;
+    std::vector<SuspectReport> changedSince(std::uint64_t version, UpdateRecipient reader, TimePoint now) const;
+    bool hasChangedSince(std::uint64_t version, UpdateRecipient reader) const;
     std::uint64_t version() const;
     std::size_t size() const;
     /// Requests that are shut out.
--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -116,7 +116,7 @@
 };
 
 /// Who reads what is new in a table that hosts keep together.
-enum class NewsReader : std::uint8_t {
+enum class UpdateRecipient : std::uint8_t {
     EntryHost, ///< needs what matters to requests, whoever noticed it
     ControlHost, ///< needs what was noticed here, or told by the hosts that this one speaks for
 };
@@ -125,9 +125,9 @@
 struct NewsMark {
     std::uint64_t forEntryHosts = 0;
     std::uint64_t forControlHosts = 0;
-    std::uint64_t newestFor(NewsReader reader) const
+    std::uint64_t newestFor(UpdateRecipient reader) const
     {
-        return reader == NewsReader::ControlHost ? forControlHosts : forEntryHosts;
+        return reader == UpdateRecipient::ControlHost ? forControlHosts : forEntryHosts;
     }
 };
 
@@ -145,7 +145,7 @@
         }
     }
 
-    bool hasChangedSince(std::uint64_t version, NewsReader reader) const
+    bool hasChangedSince(std::uint64_t version, UpdateRecipient reader) const
     {
         return m_newest.newestFor(reader) > version;
     }
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -174,7 +174,7 @@
     return it != m_entries.end() && it->second.leavingSince.has_value();
 }
 
-std::vector<BackpressureReport> BackpressureTable::changedSince(std::uint64_t version, NewsReader reader,
+std::vector<BackpressureReport> BackpressureTable::changedSince(std::uint64_t version, UpdateRecipient reader,
                                                                 TimePoint now) const
 {
     std::vector<BackpressureReport> reports;
@@ -188,7 +188,7 @@
     return reports;
 }
 
-bool BackpressureTable::hasChangedSince(std::uint64_t version, NewsReader reader) const
+bool BackpressureTable::hasChangedSince(std::uint64_t version, UpdateRecipient reader) const
 {
     return m_versions.hasChangedSince(version, reader);
 }
--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -53,7 +53,7 @@
 // What a target asks for may be known before the target is.
 void Balancer::Impl::followBackpressure()
 {
-    for (const BackpressureReport &it : m_backpressure.changedSince(0, NewsReader::EntryHost, m_now)) {
+    for (const BackpressureReport &it : m_backpressure.changedSince(0, UpdateRecipient::EntryHost, m_now)) {
         applyBackpressure(it.target);
     }
 }
--- a/lib/Fleet/NewsExchange.h
+++ b/lib/Fleet/NewsExchange.h
@@ -24,7 +24,7 @@
                TimePoint now)
 {
     const bool hasHeard = !epoch.empty() && epoch == told.epoch;
-    offer.reports = table.changedSince(hasHeard ? told.version : 0, NewsReader::ControlHost, now);
+    offer.reports = table.changedSince(hasHeard ? told.version : 0, UpdateRecipient::ControlHost, now);
     offer.upTo = table.version();
 }
 
@@ -40,7 +40,7 @@
 
 /// What a control host replies.
 template <typename Report, typename Table>
-NewsAnswer<Report> answerNews(const NewsOffer<Report> &offer, const Table &table, NewsReader reader, TimePoint now)
+NewsAnswer<Report> answerNews(const NewsOffer<Report> &offer, const Table &table, UpdateRecipient reader, TimePoint now)
 {
     return {table.changedSince(offer.since, reader, now), table.version(), offer.upTo};
 }
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -152,7 +152,7 @@
     m_rememberedLoads = m_quotas.version();
     m_remembersLimits = m_quotas.binds();
     Remembered remembered = rememberedOf(m_routing, m_registry);
-    remembered.suspects = m_quarantine.changedSince(0, NewsReader::ControlHost, now);
+    remembered.suspects = m_quarantine.changedSince(0, UpdateRecipient::ControlHost, now);
     remembered.loads = m_quotas.loads();
     m_writer->post([this, remembered = std::move(remembered)] {
         try {
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -15,9 +15,9 @@
 /// was met, departures of targets wait 16 ms behind them, less than for the next tick of their host.
 constexpr std::size_t ShortChanges = 8 * 1024;
 
-NewsReader readerOf(const FleetWatchCall &ask)
+UpdateRecipient readerOf(const FleetWatchCall &ask)
 {
-    return ask.self.role == HostRole::Entry ? NewsReader::EntryHost : NewsReader::ControlHost;
+    return ask.self.role == HostRole::Entry ? UpdateRecipient::EntryHost : UpdateRecipient::ControlHost;
 }
 
 } // namespace
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -258,11 +258,11 @@
     return it == m_suspects.end() ? 0 : counted(it->second);
 }
 
-std::vector<SuspectReport> Quarantine::changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const
+std::vector<SuspectReport> Quarantine::changedSince(std::uint64_t version, UpdateRecipient reader, TimePoint now) const
 {
     std::vector<SuspectReport> reports;
     for (const auto &[digest, suspect] : m_suspects) {
-        const bool isWhole = version == 0 && reader == NewsReader::ControlHost;
+        const bool isWhole = version == 0 && reader == UpdateRecipient::ControlHost;
         if (!isWhole && suspect.changedAt.newestFor(reader) <= version) {
             continue;
         }
@@ -275,7 +275,7 @@
     return reports;
 }
 
-bool Quarantine::hasChangedSince(std::uint64_t version, NewsReader reader) const
+bool Quarantine::hasChangedSince(std::uint64_t version, UpdateRecipient reader) const
 {
     return m_versions.hasChangedSince(version, reader);
 }
--- a/unittests/Backpressure/BackpressureTableTest.cpp
+++ b/unittests/Backpressure/BackpressureTableTest.cpp
@@ -28,7 +28,7 @@
 
 std::vector<BackpressureReport> allOf(const BackpressureTable &table, TimePoint now)
 {
-    return table.changedSince(0, NewsReader::ControlHost, now);
+    return table.changedSince(0, UpdateRecipient::ControlHost, now);
 }
 
 } // namespace
@@ -96,13 +96,13 @@
         CHECK(control.merge(it, true, Start + 20ms));
         CHECK_FALSE(control.merge(it, true, Start + 20ms));
     }
-    const auto told = control.changedSince(0, NewsReader::EntryHost, Start + 30ms);
+    const auto told = control.changedSince(0, UpdateRecipient::EntryHost, Start + 30ms);
     REQUIRE(told.size() == 1);
     CHECK(second.merge(told.front(), false, Start + 40ms));
     CHECK(second.limitOf(Target) == 2.0);
     // What comes from others is not told as its own.
-    CHECK_FALSE(second.hasChangedSince(0, NewsReader::ControlHost));
-    CHECK(control.hasChangedSince(0, NewsReader::ControlHost));
+    CHECK_FALSE(second.hasChangedSince(0, UpdateRecipient::ControlHost));
+    CHECK(control.hasChangedSince(0, UpdateRecipient::ControlHost));
 
     hear(second, {}, Start + 2s);
     CHECK(hear(second, {}, Start + 3s));
@@ -134,7 +134,7 @@
     CHECK_FALSE(hear(table, limitOf(2), Start + 1s));
     CHECK(table.version() == told);
     CHECK_FALSE(hear(table, limitOf(2.1), Start + 6s));
-    CHECK(table.hasChangedSince(told, NewsReader::ControlHost));
+    CHECK(table.hasChangedSince(told, UpdateRecipient::ControlHost));
     CHECK(table.forget(Start + 30s).empty());
     CHECK(table.forget(Start + 40s) == std::vector<Incarnation>{Target});
     CHECK_FALSE(table.limitOf(Target));
--- a/unittests/Balance/LimitedTargetsTest.cpp
+++ b/unittests/Balance/LimitedTargetsTest.cpp
@@ -218,14 +218,14 @@
     {
         for (const auto &it : m_hosts) {
             const BackpressureTable &table = it->host->balancer.backpressure();
-            for (const BackpressureReport &report : table.changedSince(it->told, NewsReader::ControlHost, m_now)) {
+            for (const BackpressureReport &report : table.changedSince(it->told, UpdateRecipient::ControlHost, m_now)) {
                 m_control.merge(report, true, m_now);
             }
             it->told = table.version();
         }
         for (const auto &it : m_hosts) {
             it->host->now = m_now;
-            const auto reports = m_control.changedSince(it->heard, NewsReader::EntryHost, m_now);
+            const auto reports = m_control.changedSince(it->heard, UpdateRecipient::EntryHost, m_now);
             it->heard = m_control.version();
             if (!reports.empty()) {
                 it->host->reduce(BackpressureTold{reports});
--- a/unittests/EndingRequests/SpreadTest.cpp
+++ b/unittests/EndingRequests/SpreadTest.cpp
@@ -318,12 +318,12 @@
         Control &to = m_controls[control];
         const Quarantine &own = entry.balancer->quarantine();
         for (const SuspectReport &it :
-             own.changedSince(sinceOf(entry.told[control], to.life), NewsReader::ControlHost, m_now)) {
+             own.changedSince(sinceOf(entry.told[control], to.life), UpdateRecipient::ControlHost, m_now)) {
             to.quarantine.merge(it, true, m_now);
         }
         entry.told[control] = {to.life, own.version()};
         SuspectsTold told{
-            to.quarantine.changedSince(sinceOf(entry.has[control], to.life), NewsReader::EntryHost, m_now)};
+            to.quarantine.changedSince(sinceOf(entry.has[control], to.life), UpdateRecipient::EntryHost, m_now)};
         entry.has[control] = {to.life, to.quarantine.version()};
         reduce(n, told);
     }
@@ -333,7 +333,7 @@
         const Control &told = m_controls[from];
         auto &has = m_controls[n].has[from];
         for (const SuspectReport &it :
-             told.quarantine.changedSince(sinceOf(has, told.life), NewsReader::ControlHost, m_now)) {
+             told.quarantine.changedSince(sinceOf(has, told.life), UpdateRecipient::ControlHost, m_now)) {
             m_controls[n].quarantine.merge(it, false, m_now);
         }
         has = {told.life, told.quarantine.version()};
@@ -348,7 +348,7 @@
         control.has.clear();
         ++control.life;
         if (keepsDisk) {
-            for (const SuspectReport &it : disk.changedSince(0, NewsReader::ControlHost, m_now)) {
+            for (const SuspectReport &it : disk.changedSince(0, UpdateRecipient::ControlHost, m_now)) {
                 control.quarantine.merge(it, false, m_now);
             }
         }
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -33,7 +33,7 @@
 /// Everything that one host knows goes to another one.
 void tellAll(const Quarantine &from, Quarantine &to, TimePoint now = Start)
 {
-    for (const SuspectReport &it : from.changedSince(0, NewsReader::ControlHost, now)) {
+    for (const SuspectReport &it : from.changedSince(0, UpdateRecipient::ControlHost, now)) {
         to.merge(it, false, now);
     }
 }
@@ -113,7 +113,7 @@
 TEST_CASE(
     "entry hosts are told of what is suspected, also that it is free again; control hosts of what they have not seen")
 {
-    using Reader = NewsReader;
+    using Reader = UpdateRecipient;
     Quarantine quarantine = withEnds(1);
     CHECK(quarantine.changedSince(0, Reader::EntryHost, Start).empty());
     CHECK(quarantine.changedSince(0, Reader::ControlHost, Start).size() == 1);
@@ -184,7 +184,7 @@
     for (unsigned n = 0; n < 100; ++n) {
         quarantine.noteEnd(Digest, target(n), Start + 1s);
     }
-    const auto reports = quarantine.changedSince(0, NewsReader::ControlHost, Start + 1s);
+    const auto reports = quarantine.changedSince(0, UpdateRecipient::ControlHost, Start + 1s);
     for (const SuspectReport &it : reports) {
         CHECK(it.ends.size() <= 16);
     }
