--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -61,7 +61,7 @@
         TimePoint asOf{}; ///< when an answer named it last, or showed that none is named any more
         unsigned unnamed = 0; ///< answers in a row that name no limit, and came late enough to lift it
         TimePoint toldAt{}; ///< asOf, as other hosts were told it last
-        NewsMark changedAt;
+        ChangeVersions changedAt;
     };
 
     void setLimit(Entry &entry, std::optional<double> limit, TimePoint asOf, TimePoint now);
--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -98,7 +98,7 @@
         std::map<Incarnation, End> ends;
         unsigned trials = 0;
         TimePoint trialAt{}; ///< of the newest
-        NewsMark changedAt;
+        ChangeVersions changedAt;
         bool mattersToEntryHosts = false; ///< they are told of it, also that it is free again
     };
 
--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -122,7 +122,7 @@
 };
 
 /// Versions of such a table at which an entry of it changed last; 0: never.
-struct NewsMark {
+struct ChangeVersions {
     std::uint64_t forEntryHosts = 0;
     std::uint64_t forControlHosts = 0;
     std::uint64_t newestFor(UpdateRecipient reader) const
@@ -136,10 +136,10 @@
 {
 public:
     /// An entry has changed. `isDirect`: noticed here, or told by a host that this one speaks for.
-    void note(NewsMark &entry, bool isDirect, bool mattersToEntryHosts)
+    void note(ChangeVersions &entry, bool isDirect, bool mattersToEntryHosts)
     {
         ++m_version;
-        for (NewsMark *it : {&entry, &m_newest}) {
+        for (ChangeVersions *it : {&entry, &m_newest}) {
             it->forControlHosts = isDirect ? m_version : it->forControlHosts;
             it->forEntryHosts = mattersToEntryHosts ? m_version : it->forEntryHosts;
         }
@@ -157,7 +157,7 @@
 
 private:
     std::uint64_t m_version = 0;
-    NewsMark m_newest;
+    ChangeVersions m_newest;
 };
 
 /// What the entry hosts of one region ask of one service, all together.
