--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -125,7 +125,7 @@
 struct ChangeVersions {
     std::uint64_t forEntryHosts = 0;
     std::uint64_t forControlHosts = 0;
-    std::uint64_t newestFor(UpdateRecipient reader) const
+    std::uint64_t versionFor(UpdateRecipient reader) const
     {
         return reader == UpdateRecipient::ControlHost ? forControlHosts : forEntryHosts;
     }
@@ -147,7 +147,7 @@
 
     bool hasChangedSince(std::uint64_t version, UpdateRecipient reader) const
     {
-        return m_newest.newestFor(reader) > version;
+        return m_newest.versionFor(reader) > version;
     }
 
     std::uint64_t version() const
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -179,7 +179,7 @@
 {
     std::vector<BackpressureReport> reports;
     for (const auto &[target, entry] : m_entries) {
-        if (version == 0 || entry.changedAt.newestFor(reader) > version) {
+        if (version == 0 || entry.changedAt.versionFor(reader) > version) {
             const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.asOf);
             reports.push_back(
                 {target, entry.limit.has_value(), entry.limit.value_or(0), age, entry.leavingSince.has_value()});
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -263,7 +263,7 @@
     std::vector<SuspectReport> reports;
     for (const auto &[digest, suspect] : m_suspects) {
         const bool isWhole = version == 0 && reader == UpdateRecipient::ControlHost;
-        if (!isWhole && suspect.changedAt.newestFor(reader) <= version) {
+        if (!isWhole && suspect.changedAt.versionFor(reader) <= version) {
             continue;
         }
         SuspectReport report{digest, {}, suspect.trials, ageOf(suspect.trialAt, now)};
