--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -73,7 +73,7 @@
     void noteChange(Entry &entry, bool isDirect);
 
     std::map<Incarnation, Entry> m_entries;
-    NewsVersions m_versions;
+    ChangeTracker m_versions;
 };
 
 } // namespace pepperlug::fleet
--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -113,7 +113,7 @@
 
     Duration m_firstTrialPause;
     std::map<std::string, Suspect> m_suspects; ///< by digest
-    NewsVersions m_versions;
+    ChangeTracker m_versions;
     TimePoint m_nextForget{};
 };
 
--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -132,7 +132,7 @@
 };
 
 /// Counts the changes of such a table.
-class NewsVersions
+class ChangeTracker
 {
 public:
     /// An entry has changed. `isDirect`: noticed here, or told by a host that this one speaks for.
