--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -136,7 +136,7 @@
 {
 public:
     /// An entry has changed. `isDirect`: noticed here, or told by a host that this one speaks for.
-    void note(ChangeVersions &entry, bool isDirect, bool mattersToEntryHosts)
+    void recordChange(ChangeVersions &entry, bool isDirect, bool mattersToEntryHosts)
     {
         ++m_version;
         for (ChangeVersions *it : {&entry, &m_newest}) {
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -64,7 +64,7 @@
 void BackpressureTable::noteChange(Entry &entry, bool isDirect)
 {
     entry.toldAt = entry.asOf;
-    m_versions.note(entry.changedAt, isDirect, true);
+    m_versions.recordChange(entry.changedAt, isDirect, true);
 }
 
 bool BackpressureTable::hear(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt,
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -116,7 +116,7 @@
 void Quarantine::noteChange(Suspect &suspect, bool isDirect)
 {
     suspect.mattersToEntryHosts |= counted(suspect) >= EndsToSuspect;
-    m_versions.note(suspect.changedAt, isDirect, suspect.mattersToEntryHosts);
+    m_versions.recordChange(suspect.changedAt, isDirect, suspect.mattersToEntryHosts);
 }
 
 Quarantine::Suspect &Quarantine::suspectOf(const std::string &digest)
