--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -170,7 +170,7 @@
 
 /// How long a target that is known from before a restart only may be used. Targets report themselves well within it;
 /// one that did not may have begun to drain, and a host that has been in touch for some seconds must not send to it.
-constexpr Milliseconds RememberedTime{2500};
+constexpr Milliseconds RestoredTargetLifetime{2500};
 
 /// An entry host that asked no control host for so long is not waited for when something is acknowledged, and by its
 /// own clock knows it. It asks twice a second, so that two asks in a row may fail; it ends well before what is promised
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -503,7 +503,7 @@
         target.report = it;
         target.region = regionOf(it.zone);
         target.hash = hash64(it.id);
-        target.doubtedSince = now - (DoubtTime - RememberedTime);
+        target.doubtedSince = now - (DoubtTime - RestoredTargetLifetime);
     }
 }
 
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -134,7 +134,7 @@
 
 void RegistryDaemon::Impl::remember(TimePoint now)
 {
-    if (m_remembered && now - m_startedAt > RememberedTime) {
+    if (m_remembered && now - m_startedAt > RestoredTargetLifetime) {
         m_remembered.reset();
     }
     // Sums move all the time; they are worth a write of the file only where a limit binds, or did when it was written.
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -44,7 +44,7 @@
     // What is remembered is told for a while after the start only, which a busy machine may let pass.
     CHECK(System::eventually([&] {
         system.restartAll();
-        const auto end = std::chrono::steady_clock::now() + RememberedTime;
+        const auto end = std::chrono::steady_clock::now() + RestoredTargetLifetime;
         while (std::chrono::steady_clock::now() < end) {
             if (system.get(system.gateway->callersAddress(), "/p/x").status == 200) {
                 return true;
