--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -178,7 +178,7 @@
 constexpr Milliseconds UpdateLease{1800};
 /// An entry host that has heard nothing for so many leases is cut off, as far as it can know: an ask that fails is
 /// given up after 1.2 s, and the next control host is asked.
-constexpr int CutOffLeases = 2;
+constexpr int LeasesUntilIsolated = 2;
 
 struct RegistrySettings {
     Duration targetExpiry = std::chrono::seconds(6); ///< a target that was not heard for so long is silent
--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -42,7 +42,7 @@
     }
     const bool isLate = m_lastNews->isComing && m_now - *m_lastNews->behindSince > m_settings.newsLease;
     // Nobody waits for a host that is cut off, so it serves on.
-    const bool isCutOff = m_now - m_lastNews->askedAt > CutOffLeases * m_settings.newsLease;
+    const bool isCutOff = m_now - m_lastNews->askedAt > LeasesUntilIsolated * m_settings.newsLease;
     m_isSuspended = !isCutOff && (isLate || m_isSuspended);
 }
 
--- a/lib/Quota/QuotaShares.cpp
+++ b/lib/Quota/QuotaShares.cpp
@@ -17,7 +17,7 @@
 {
 
 /// Without word from a control host with a majority for longer, this host goes by its own share alone.
-constexpr Duration HeardTime = CutOffLeases * UpdateLease;
+constexpr Duration HeardTime = LeasesUntilIsolated * UpdateLease;
 /// What a host is asked for is told anew when it differs by this part, or by this part of the tenant's limit.
 constexpr double DemandTolerance = 0.25;
 constexpr double LimitTolerance = 0.003;
