--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -183,7 +183,7 @@
 struct RegistrySettings {
     Duration targetExpiry = std::chrono::seconds(6); ///< a target that was not heard for so long is silent
     Duration hostExpiry = UpdateLease; ///< the same for hosts
-    Duration forgetAfter = std::chrono::seconds(60); ///< silent or gone reports are kept so long
+    Duration retention = std::chrono::seconds(60); ///< silent or gone reports are kept so long
 };
 
 class Registry
--- a/lib/Registry/Registry.cpp
+++ b/lib/Registry/Registry.cpp
@@ -322,7 +322,7 @@
         Entry<Report> &entry = it->second;
         const Duration age = now - entry.heardAt;
         const bool hasEnded = entry.report.presence == Presence::Gone || entry.isSilent;
-        if (hasEnded && age > m_settings.forgetAfter) {
+        if (hasEnded && age > m_settings.retention) {
             it = table.erase(it);
             continue;
         }
