--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -194,7 +194,7 @@
     template <typename Report>
     struct Entry {
         Report report;
-        TimePoint heardAt{};
+        TimePoint receivedAt{};
         bool isDirect = false; ///< heard from its author, not from another host
         bool isSilent = false;
         std::uint64_t heardVersion = 0; ///< table version at the last report
@@ -243,7 +243,7 @@
 
 private:
     template <typename Report>
-    bool take(std::map<std::string, Entry<Report>> &table, const Report &report, TimePoint heardAt, bool isDirect);
+    bool take(std::map<std::string, Entry<Report>> &table, const Report &report, TimePoint receivedAt, bool isDirect);
     template <typename Report>
     bool renew(std::map<std::string, Entry<Report>> &table, const Renewal &renewal, TimePoint now);
     template <typename Report>
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -139,7 +139,7 @@
     std::vector<std::string> hosts;
     for (const auto &[id, entry] : m_registry.hosts()) {
         const HostReport &host = entry.report;
-        const bool mayBeFollowed = now - entry.heardAt <= m_settings.newsLease + SelfReportInterval;
+        const bool mayBeFollowed = now - entry.receivedAt <= m_settings.newsLease + SelfReportInterval;
         if (host.role == HostRole::Control && host.id != m_incarnation && mayBeFollowed) {
             hosts.push_back(host.peer);
         }
--- a/lib/Registry/Registry.cpp
+++ b/lib/Registry/Registry.cpp
@@ -24,20 +24,20 @@
 constexpr double DemandTolerance = 0.1;
 
 // Both reports speak of the time left, each as of its own arrival.
-bool endsColdAlike(const Registry::TargetEntry &old, const TargetReport &report, TimePoint heardAt)
+bool endsColdAlike(const Registry::TargetEntry &old, const TargetReport &report, TimePoint receivedAt)
 {
-    const TimePoint before = old.heardAt + old.report.coldLeft;
-    const TimePoint after = heardAt + report.coldLeft;
-    const bool wasCold = before > heardAt;
+    const TimePoint before = old.receivedAt + old.report.coldLeft;
+    const TimePoint after = receivedAt + report.coldLeft;
+    const bool wasCold = before > receivedAt;
     const bool isCold = report.coldLeft > Milliseconds(0);
     return wasCold == isCold && (!isCold || std::chrono::abs(after - before) < ColdTolerance);
 }
 
-bool isAlike(const Registry::TargetEntry &old, const TargetReport &report, TimePoint heardAt)
+bool isAlike(const Registry::TargetEntry &old, const TargetReport &report, TimePoint receivedAt)
 {
     const TargetReport &before = old.report;
     return before.presence == report.presence && before.slots == report.slots && before.address == report.address
-        && before.service == report.service && before.zone == report.zone && endsColdAlike(old, report, heardAt);
+        && before.service == report.service && before.zone == report.zone && endsColdAlike(old, report, receivedAt);
 }
 
 bool isAlike(const std::vector<ServiceDemand> &lhs, const std::vector<ServiceDemand> &rhs)
@@ -124,7 +124,7 @@
 template <typename Report>
 AgedReport<Report> aged(const Registry::Entry<Report> &entry, TimePoint now)
 {
-    return {entry.report, std::chrono::duration_cast<Milliseconds>(now - entry.heardAt), entry.isSilent};
+    return {entry.report, std::chrono::duration_cast<Milliseconds>(now - entry.receivedAt), entry.isSilent};
 }
 
 } // namespace
@@ -161,7 +161,8 @@
 }
 
 template <typename Report>
-bool Registry::take(std::map<std::string, Entry<Report>> &table, const Report &report, TimePoint heardAt, bool isDirect)
+bool Registry::take(std::map<std::string, Entry<Report>> &table, const Report &report, TimePoint receivedAt,
+                    bool isDirect)
 {
     const auto [it, isNewId] = table.try_emplace(report.id);
     Entry<Report> &entry = it->second;
@@ -182,14 +183,14 @@
     // A departure that was heard from others is told again by the host that hears it from its author: whoever told of
     // it first may have ended, and this host is asked for the promise now.
     const bool isAsked = isDirect && isDeparture && !entry.isDirect;
-    const bool matters = isNew || entry.isSilent || isAsked || !isAlike(entry, report, heardAt);
+    const bool matters = isNew || entry.isSilent || isAsked || !isAlike(entry, report, receivedAt);
     const bool isLoadKept = !isNew && isLoadAlike(entry.report, report);
     Report kept = report;
     if (isLoadKept) {
         keepLoadOf(entry.report, kept);
     }
     entry.report = std::move(kept);
-    entry.heardAt = heardAt;
+    entry.receivedAt = receivedAt;
     entry.isDirect = isDirect || (entry.isDirect && isDeparture);
     entry.isSilent = false;
     entry.heardVersion = ++m_version;
@@ -252,7 +253,7 @@
     };
     const TargetEntry *holder = nullptr;
     for (const auto &[id, entry] : m_targets) {
-        if (isAt(entry) && (holder == nullptr || entry.heardAt >= holder->heardAt)) {
+        if (isAt(entry) && (holder == nullptr || entry.receivedAt >= holder->receivedAt)) {
             holder = &entry;
         }
     }
@@ -277,7 +278,7 @@
     if (it == table.end()) {
         return false;
     }
-    const TimePoint heardAt = now - renewal.age;
+    const TimePoint receivedAt = now - renewal.age;
     Report report = it->second.report;
     if (renewal.startedAt != startOf(report)) {
         return renewal.startedAt < startOf(report);
@@ -291,8 +292,8 @@
     }
     report.sequence = renewal.sequence;
     // What the last report said of its future is counted from the renewal now.
-    shorten(report, heardAt - it->second.heardAt);
-    if (take(table, report, heardAt, false)) {
+    shorten(report, receivedAt - it->second.receivedAt);
+    if (take(table, report, receivedAt, false)) {
         settleAddress(report);
     }
     return true;
@@ -320,7 +321,7 @@
 {
     for (auto it = table.begin(); it != table.end();) {
         Entry<Report> &entry = it->second;
-        const Duration age = now - entry.heardAt;
+        const Duration age = now - entry.receivedAt;
         const bool hasEnded = entry.report.presence == Presence::Gone || entry.isSilent;
         if (hasEnded && age > m_settings.retention) {
             it = table.erase(it);
@@ -352,7 +353,7 @@
             if (version == 0 || std::max(entry.changedVersion, entry.loadVersion) > version) {
                 whole.push_back(aged(entry, now));
             } else {
-                const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.heardAt);
+                const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.receivedAt);
                 changes.renewals.push_back({id, entry.report.sequence, age, digestOf(entry.report),
                                             isCold(entry.report), startOf(entry.report)});
             }
@@ -380,14 +381,14 @@
 {
     const auto isCounted = [&](const HostEntry &entry) {
         const HostReport &report = entry.report;
-        return report.role == HostRole::Entry && report.presence != Presence::Gone && now - entry.heardAt <= hold;
+        return report.role == HostRole::Entry && report.presence != Presence::Gone && now - entry.receivedAt <= hold;
     };
     std::unordered_map<std::string_view, const HostEntry *>
         newest; // by address: a host that starts again has another id
     for (const auto &[id, entry] : m_hosts) {
         if (isCounted(entry)) {
             const HostEntry *&known = newest[entry.report.address];
-            known = known == nullptr || known->heardAt < entry.heardAt ? &entry : known;
+            known = known == nullptr || known->receivedAt < entry.receivedAt ? &entry : known;
         }
     }
     std::unordered_map<std::uint64_t, double> sums;
