--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -197,7 +197,7 @@
         TimePoint receivedAt{};
         bool isDirect = false; ///< heard from its author, not from another host
         bool isSilent = false;
-        std::uint64_t heardVersion = 0; ///< table version at the last report
+        std::uint64_t receivedVersion = 0; ///< table version at the last report
         std::uint64_t changedVersion = 0; ///< table version at the last change that matters
         std::uint64_t loadVersion = 0; ///< table version at the last change of a host's load
     };
--- a/lib/Registry/Registry.cpp
+++ b/lib/Registry/Registry.cpp
@@ -193,7 +193,7 @@
     entry.receivedAt = receivedAt;
     entry.isDirect = isDirect || (entry.isDirect && isDeparture);
     entry.isSilent = false;
-    entry.heardVersion = ++m_version;
+    entry.receivedVersion = ++m_version;
     if (!isLoadKept) {
         entry.loadVersion = m_version;
     }
@@ -231,7 +231,7 @@
         return;
     }
     entry.isDirect = true;
-    entry.heardVersion = ++m_version;
+    entry.receivedVersion = ++m_version;
     noteChange(entry);
 }
 
@@ -260,7 +260,7 @@
     for (auto &[id, entry] : m_targets) {
         if (isAt(entry) && &entry != holder && !entry.isSilent) {
             entry.isSilent = true;
-            entry.heardVersion = ++m_version;
+            entry.receivedVersion = ++m_version;
             noteChange(entry);
         }
     }
@@ -347,7 +347,7 @@
     RegistryChanges changes;
     const auto add = [&](const auto &table, auto &whole) {
         for (const auto &[id, entry] : table) {
-            if (version != 0 && (!entry.isDirect || entry.heardVersion <= version)) {
+            if (version != 0 && (!entry.isDirect || entry.receivedVersion <= version)) {
                 continue;
             }
             if (version == 0 || std::max(entry.changedVersion, entry.loadVersion) > version) {
