--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -215,7 +215,7 @@
     void expire(TimePoint now, bool mayExpire);
 
     /// All that was heard directly after a version, as a renewal where it says nothing new; with 0 all there is.
-    RegistryChanges heardSince(std::uint64_t version, TimePoint now) const;
+    RegistryChanges receivedSince(std::uint64_t version, TimePoint now) const;
     /// All that changed in a way that matters after a version.
     RegistryChanges changedSince(std::uint64_t version, TimePoint now) const;
     std::uint64_t version() const;
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -183,7 +183,7 @@
     reply.version = m_registry.version();
     reply.isCurrent = !m_isLeaving && m_log->status().isCurrent(now);
     const bool isControl = call.self.role == HostRole::Control;
-    reply.changes = isControl ? m_registry.heardSince(call.since, now) : m_registry.changedSince(call.since, now);
+    reply.changes = isControl ? m_registry.receivedSince(call.since, now) : m_registry.changedSince(call.since, now);
     reply.isWhole = call.since == 0;
     reply.suspects = answerNews(call.suspects, m_quarantine, readerOf(call), now);
     reply.backpressure = answerNews(call.backpressure, m_backpressure, readerOf(call), now);
--- a/lib/Registry/Registry.cpp
+++ b/lib/Registry/Registry.cpp
@@ -342,7 +342,7 @@
     expireIn(m_hosts, now, m_settings.hostExpiry, mayExpire);
 }
 
-RegistryChanges Registry::heardSince(std::uint64_t version, TimePoint now) const
+RegistryChanges Registry::receivedSince(std::uint64_t version, TimePoint now) const
 {
     RegistryChanges changes;
     const auto add = [&](const auto &table, auto &whole) {
--- a/unittests/Registry/RegistryTest.cpp
+++ b/unittests/Registry/RegistryTest.cpp
@@ -92,7 +92,7 @@
             const int to = *rc::gen::inRange(0, Hosts);
             const int from = *rc::gen::inRange(0, Hosts);
             if (to != from) {
-                registries.at(to).merge(registries.at(from).heardSince(0, now), now);
+                registries.at(to).merge(registries.at(from).receivedSince(0, now), now);
             }
         };
         for (int life = 0; life < lives; ++life) {
@@ -114,7 +114,7 @@
         const std::string last = idOf(lives - 1);
         registries.front().receive(report(last, ++sequences.back()), now);
         for (std::size_t n = 1; n < registries.size(); ++n) {
-            registries.at(n).merge(registries.front().heardSince(0, now), now);
+            registries.at(n).merge(registries.front().receivedSince(0, now), now);
         }
         for (const Registry &it : registries) {
             RC_ASSERT(isInUse(it, last));
@@ -131,12 +131,12 @@
     Registry near;
     Registry far;
     near.receive(report("second", 1), Start);
-    far.merge(near.heardSince(0, Start), Start);
+    far.merge(near.receivedSince(0, Start), Start);
     const std::uint64_t told = near.version();
     far.receive(report("first", 9), Start + 1s);
     REQUIRE_FALSE(isInUse(far, "second"));
     near.receive(report("second", 2), Start + 1500ms);
-    const RegistryChanges changes = near.heardSince(told, Start + 1500ms);
+    const RegistryChanges changes = near.receivedSince(told, Start + 1500ms);
     REQUIRE(changes.renewals.size() == 1);
     far.merge(changes, Start + 1500ms);
     CHECK(isInUse(far, "second"));
@@ -190,8 +190,8 @@
     const std::uint64_t version = registry.version();
     registry.receive(report("a", 2), Start + 1s);
     CHECK(registry.changedSince(version, Start + 1s).empty());
-    CHECK(registry.heardSince(version, Start + 1s).renewals.size() == 1);
-    CHECK(registry.heardSince(version, Start + 1s).targets.empty());
+    CHECK(registry.receivedSince(version, Start + 1s).renewals.size() == 1);
+    CHECK(registry.receivedSince(version, Start + 1s).targets.empty());
 }
 
 TEST_CASE("a renewal keeps a target alive at other control hosts")
@@ -199,12 +199,12 @@
     Registry author;
     author.receive(report("a", 1), Start);
     Registry other;
-    CHECK(other.merge(author.heardSince(0, Start), Start));
+    CHECK(other.merge(author.receivedSince(0, Start), Start));
     for (int n = 1; n <= 10; ++n) {
         const std::uint64_t version = author.version();
         const TimePoint now = Start + n * 1500ms;
         author.receive(report("a", static_cast<std::uint64_t>(n) + 1), now);
-        CHECK(other.merge(author.heardSince(version, now), now));
+        CHECK(other.merge(author.receivedSince(version, now), now));
         other.expire(now, true);
         CHECK_FALSE(other.target("a")->isSilent);
     }
@@ -217,7 +217,7 @@
     author.receive(report("a", 1), Start);
     const std::uint64_t first = author.version();
     author.receive(report("a", 2), Start);
-    const RegistryChanges renewal = author.heardSince(first, Start);
+    const RegistryChanges renewal = author.receivedSince(first, Start);
     REQUIRE(renewal.renewals.size() == 1);
     Registry empty;
     CHECK_FALSE(empty.merge(renewal, Start));
@@ -228,13 +228,13 @@
     // report.
     Registry second;
     second.receive(report("a", 5, Presence::Draining), Start);
-    author.merge(second.heardSince(0, Start), Start);
+    author.merge(second.receivedSince(0, Start), Start);
     Registry third;
     third.receive(report("a", 4), Start);
     const std::uint64_t version = author.version();
     author.receive(report("a", 6, Presence::Draining), Start);
-    CHECK_FALSE(third.merge(author.heardSince(version, Start), Start));
-    third.merge(second.heardSince(0, Start), Start);
+    CHECK_FALSE(third.merge(author.receivedSince(version, Start), Start));
+    third.merge(second.receivedSince(0, Start), Start);
     CHECK(presenceOf(third, "a") == Presence::Draining);
 }
 
@@ -245,12 +245,12 @@
     Registry author;
     author.receive(cold, Start);
     Registry other;
-    other.merge(author.heardSince(0, Start), Start);
+    other.merge(author.receivedSince(0, Start), Start);
     const std::uint64_t version = author.version();
     cold.sequence = 2;
     cold.coldLeft = 2000ms;
     author.receive(cold, Start + 1s);
-    const RegistryChanges renewal = author.heardSince(version, Start + 1s);
+    const RegistryChanges renewal = author.receivedSince(version, Start + 1s);
     REQUIRE(renewal.renewals.size() == 1);
     CHECK(other.merge(renewal, Start + 1s));
     CHECK(other.target("a")->report.coldLeft == 2000ms);
@@ -277,7 +277,7 @@
         registry.receive(host, Start);
     }
     CHECK(registry.changedVersion() == changed);
-    CHECK(registry.heardSince(version, Start).hosts.size() == 1);
+    CHECK(registry.receivedSince(version, Start).hosts.size() == 1);
     REQUIRE(registry.demand(regions).size() == 1);
     CHECK(registry.demand(regions)[0].region == "r1");
     CHECK(registry.demand(regions)[0].slots == Approx(20).epsilon(0.1));
@@ -290,7 +290,7 @@
         std::array<std::array<std::uint64_t, 3>, 3> since{}; // [reader][told]
         std::uint64_t sequence = 0;
         const auto tell = [&](std::size_t from, std::size_t to) {
-            const RegistryChanges changes = hosts[from].heardSince(since[to][from], Start);
+            const RegistryChanges changes = hosts[from].receivedSince(since[to][from], Start);
             since[to][from] = hosts[to].merge(changes, Start) ? hosts[from].version() : 0;
         };
         const auto steps = *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 18));
@@ -327,9 +327,9 @@
     Registry other;
     other.receive(report("b", 1), Start);
     const std::uint64_t version = other.version();
-    other.merge(author.heardSince(0, Start), Start);
-    CHECK(other.heardSince(version, Start).empty());
-    CHECK(other.heardSince(0, Start).targets.size() == 2);
+    other.merge(author.receivedSince(0, Start), Start);
+    CHECK(other.receivedSince(version, Start).empty());
+    CHECK(other.receivedSince(0, Start).targets.size() == 2);
 }
 
 TEST_CASE("a departure that its target repeats is passed on by the host that hears it again")
@@ -337,18 +337,18 @@
     Registry first;
     first.receive(report("a", 2, Presence::Draining), Start);
     Registry second;
-    second.merge(first.heardSince(0, Start), Start);
+    second.merge(first.receivedSince(0, Start), Start);
     const std::uint64_t before = second.version();
     // The first host has ended before it told others; the target asks the second one for the promise.
     second.receive(report("a", 2, Presence::Draining), Start);
-    const RegistryChanges news = second.heardSince(before, Start);
+    const RegistryChanges news = second.receivedSince(before, Start);
     Registry third;
     CHECK(third.merge(news, Start));
     REQUIRE(third.target("a") != nullptr);
     CHECK(third.target("a")->report.presence == Presence::Draining);
     // The same departure once more is no change, whoever else passes it on meanwhile.
     const std::uint64_t changed = second.changedVersion();
-    second.merge(first.heardSince(0, Start), Start);
+    second.merge(first.receivedSince(0, Start), Start);
     second.receive(report("a", 3, Presence::Draining), Start);
     second.receive(report("a", 3, Presence::Draining), Start);
     CHECK(second.changedVersion() == changed);
@@ -359,7 +359,7 @@
     Registry author;
     author.receive(report("a", 1), Start);
     Registry other;
-    other.merge(author.heardSince(0, Start + 5s), Start + 5s);
+    other.merge(author.receivedSince(0, Start + 5s), Start + 5s);
     other.expire(Start + 7s, true);
     CHECK(other.target("a")->isSilent);
 }
@@ -418,7 +418,7 @@
     const std::uint64_t version = registry.version();
     registry.receive(lifeReport("a", 2000ms, 10), Start + 1s);
     CHECK(registry.changedSince(version, Start + 1s).targets.size() == 1);
-    CHECK(registry.heardSince(version, Start + 1s).renewals.empty());
+    CHECK(registry.receivedSince(version, Start + 1s).renewals.empty());
 }
 
 TEST_CASE("a renewal speaks of one life alone")
@@ -427,7 +427,7 @@
     author.receive(lifeReport("a", 1000ms, 8), Start);
     const std::uint64_t version = author.version();
     author.receive(lifeReport("a", 1000ms, 9), Start);
-    const RegistryChanges older = author.heardSince(version, Start);
+    const RegistryChanges older = author.receivedSince(version, Start);
     REQUIRE(older.renewals.size() == 1);
     // A host that knows the next life has nothing to ask for, and keeps it.
     Registry newer;
@@ -445,10 +445,10 @@
     Registry first;
     first.receive(lifeReport("a", 2000ms, 1), Start);
     Registry second;
-    second.merge(first.heardSince(0, Start), Start);
+    second.merge(first.receivedSince(0, Start), Start);
     const std::uint64_t version = second.version();
     second.receive(lifeReport("a", 1000ms, 7, Presence::Gone), Start);
-    CHECK(second.heardSince(version, Start).empty());
+    CHECK(second.receivedSince(version, Start).empty());
     CHECK_FALSE(second.target("a")->isDirect);
 }
 
@@ -478,7 +478,7 @@
         std::array<Registry, Hosts> hosts;
         std::array<std::array<std::uint64_t, Hosts>, Hosts> since{}; // [reader][told]
         const auto tell = [&](std::size_t from, std::size_t to) {
-            const RegistryChanges changes = hosts[from].heardSince(since[to][from], Start);
+            const RegistryChanges changes = hosts[from].receivedSince(since[to][from], Start);
             since[to][from] = hosts[to].merge(changes, Start) ? hosts[from].version() : 0;
         };
         // What the target ever said, so that any of it may come late to any host.
