--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -268,7 +268,7 @@
 };
 
 /// Callers that are sent to entry hosts of a region which is not their own.
-struct GuestShare {
+struct RedirectedShare {
     std::string region; ///< where they go
     double part = 0; ///< of the callers of the region that they come from
 };
@@ -280,10 +280,10 @@
 public:
     /// To be called with all regions as they are now.
     void follow(const std::map<std::string, RegionLoad> &regions, TimePoint now);
-    GuestShare guestsOf(const std::string &region) const;
+    RedirectedShare guestsOf(const std::string &region) const;
 
 private:
-    std::map<std::string, GuestShare> m_guests; ///< by the region that they come from
+    std::map<std::string, RedirectedShare> m_guests; ///< by the region that they come from
     std::optional<TimePoint> m_movedAt;
 };
 
--- a/lib/Registry/CallerShares.cpp
+++ b/lib/Registry/CallerShares.cpp
@@ -29,7 +29,7 @@
     m_movedAt = now;
     std::erase_if(m_guests, [&](const auto &it) { return !regions.contains(it.first); });
     for (const auto &[region, load] : regions) {
-        GuestShare &guests = m_guests[region];
+        RedirectedShare &guests = m_guests[region];
         const auto isLess = [](const auto &lhs, const auto &rhs) {
             return lhs.second.linkUse < rhs.second.linkUse;
         };
@@ -45,10 +45,10 @@
     }
 }
 
-GuestShare CallerShares::guestsOf(const std::string &region) const
+RedirectedShare CallerShares::guestsOf(const std::string &region) const
 {
     const auto it = m_guests.find(region);
-    return it == m_guests.end() ? GuestShare{} : it->second;
+    return it == m_guests.end() ? RedirectedShare{} : it->second;
 }
 
 } // namespace pepperlug::fleet
--- a/unittests/Registry/CallerSharesTest.cpp
+++ b/unittests/Registry/CallerSharesTest.cpp
@@ -38,8 +38,8 @@
         std::map<std::string, RegionLoad> all;
         for (const auto &[region, asked] : m_asked) {
             const std::string &other = region == "a" ? "b" : "a";
-            const GuestShare leaving = shares.guestsOf(region);
-            const GuestShare coming = shares.guestsOf(other);
+            const RedirectedShare leaving = shares.guestsOf(region);
+            const RedirectedShare coming = shares.guestsOf(other);
             all[region] = {4, asked * (1 - leaving.part) + m_asked.at(other) * coming.part};
         }
         return all;
