--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -270,7 +270,7 @@
 /// Callers that are sent to entry hosts of a region which is not their own.
 struct RedirectedShare {
     std::string region; ///< where they go
-    double part = 0; ///< of the callers of the region that they come from
+    double fraction = 0; ///< of the callers of the region that they come from
 };
 
 /// Decides which callers of a region whose entry hosts have full links go to another region's. Moves slowly, since each
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -276,10 +276,10 @@
     }
     const RedirectedShare guests = m_shares.guestsOf(region);
     // Callers of routes with home regions may not be sent elsewhere.
-    if (guests.part <= 0 || m_hasHomes) {
+    if (guests.fraction <= 0 || m_hasHomes) {
         return hosts;
     }
-    const double wanted = static_cast<double>(hosts.size()) * guests.part / (1 - guests.part);
+    const double wanted = static_cast<double>(hosts.size()) * guests.fraction / (1 - guests.fraction);
     std::vector<std::string> others = liveEntryHosts(guests.region);
     // In an order that differs from zone to zone, so that the guests of several zones do not meet at the same few
     // hosts.
--- a/lib/Registry/CallerShares.cpp
+++ b/lib/Registry/CallerShares.cpp
@@ -35,13 +35,13 @@
         };
         const auto emptiest = std::min_element(regions.begin(), regions.end(), isLess);
         const bool hasHost = regions.contains(guests.region) && guests.region != region;
-        if (guests.part <= 0 || !hasHost) {
+        if (guests.fraction <= 0 || !hasHost) {
             guests = {emptiest->first, 0};
         }
         const double gap = load.linkUse - regions.at(guests.region).linkUse;
         const bool isCrowded = load.linkUse > CrowdedUse && gap > LeastGap;
         const double step = isCrowded ? PartMovedPerSecond : (gap < LeastGap / 2 ? -PartReturnedPerSecond : 0);
-        guests.part = std::clamp(guests.part + step * passed.count(), 0.0, MostGuests);
+        guests.fraction = std::clamp(guests.fraction + step * passed.count(), 0.0, MostGuests);
     }
 }
 
