--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -280,7 +280,7 @@
 public:
     /// To be called with all regions as they are now.
     void follow(const std::map<std::string, RegionLoad> &regions, TimePoint now);
-    RedirectedShare guestsOf(const std::string &region) const;
+    RedirectedShare redirectedFrom(const std::string &region) const;
 
 private:
     std::map<std::string, RedirectedShare> m_guests; ///< by the region that they come from
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -274,7 +274,7 @@
         // region, with requests that have their home there, until they ask again.
         return knowsFollowers(m_clock.now()) ? liveEntryHosts({}) : std::vector<std::string>{};
     }
-    const RedirectedShare guests = m_shares.guestsOf(region);
+    const RedirectedShare guests = m_shares.redirectedFrom(region);
     // Callers of routes with home regions may not be sent elsewhere.
     if (guests.fraction <= 0 || m_hasHomes) {
         return hosts;
--- a/lib/Registry/CallerShares.cpp
+++ b/lib/Registry/CallerShares.cpp
@@ -45,7 +45,7 @@
     }
 }
 
-RedirectedShare CallerShares::guestsOf(const std::string &region) const
+RedirectedShare CallerShares::redirectedFrom(const std::string &region) const
 {
     const auto it = m_guests.find(region);
     return it == m_guests.end() ? RedirectedShare{} : it->second;
