--- a/include/pepperlug/Registry.h
+++ b/include/pepperlug/Registry.h
@@ -279,7 +279,7 @@
 {
 public:
     /// To be called with all regions as they are now.
-    void follow(const std::map<std::string, RegionLoad> &regions, TimePoint now);
+    void update(const std::map<std::string, RegionLoad> &regions, TimePoint now);
     RedirectedShare redirectedFrom(const std::string &region) const;
 
 private:
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -238,7 +238,7 @@
         ++load.hosts;
         load.linkUse += (host.report->linkUse - load.linkUse) / load.hosts;
     }
-    m_shares.follow(regions, now);
+    m_shares.update(regions, now);
 }
 
 // A host that has just started has heard of a part of the entry hosts only, and would let too much pass.
--- a/lib/Registry/CallerShares.cpp
+++ b/lib/Registry/CallerShares.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void CallerShares::follow(const std::map<std::string, RegionLoad> &regions, TimePoint now)
+void CallerShares::update(const std::map<std::string, RegionLoad> &regions, TimePoint now)
 {
     const std::chrono::duration<double> sinceLast = now - m_movedAt.value_or(now);
     const std::chrono::duration<double> passed = std::min(sinceLast, LongestStep);
--- a/unittests/Registry/CallerSharesTest.cpp
+++ b/unittests/Registry/CallerSharesTest.cpp
@@ -29,7 +29,7 @@
     void pass(Duration time)
     {
         for (const TimePoint end = now + time; now < end; now += Step) {
-            shares.follow(loads(), now);
+            shares.update(loads(), now);
         }
     }
 
@@ -104,7 +104,7 @@
     REQUIRE(regions.shares.redirectedFrom("a").region == "b");
     for (int n = 0; n < 10; ++n) {
         regions.now += Step;
-        regions.shares.follow({{"a", {4, 2.0}}}, regions.now);
+        regions.shares.update({{"a", {4, 2.0}}}, regions.now);
     }
     CHECK(regions.shares.redirectedFrom("a").fraction == 0);
     CHECK(regions.shares.redirectedFrom("b").fraction == 0);
@@ -116,6 +116,6 @@
     regions.pass(1s);
     const double before = regions.shares.redirectedFrom("a").fraction;
     regions.now += 60s;
-    regions.shares.follow(regions.loads(), regions.now);
+    regions.shares.update(regions.loads(), regions.now);
     CHECK(regions.shares.redirectedFrom("a").fraction - before < 0.05);
 }
