--- a/include/pepperlug/Routes.h
+++ b/include/pepperlug/Routes.h
@@ -191,7 +191,7 @@
     const RoutingView &view() const;
     /// Encoded changes that lead from the view of the index to the newest, to be applied one after the other; empty if
     /// the asker has the newest, or a newer one.
-    std::vector<std::string> since(std::uint64_t index) const;
+    std::vector<std::string> changesSince(std::uint64_t index) const;
 
 private:
     struct EncodedChange {
--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -110,7 +110,7 @@
 
 /// Reply to path::FleetRouting.
 struct FleetRoutingReply {
-    std::vector<std::string> changes; ///< RoutingHistory::since()
+    std::vector<std::string> changes; ///< RoutingHistory::changesSince()
     MSGPACK_DEFINE(changes);
 };
 
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -157,7 +157,7 @@
     FleetRoutingReply reply;
     {
         const std::lock_guard lock(m_mutex);
-        reply.changes = historyFor(ask.index == 0).since(ask.index);
+        reply.changes = historyFor(ask.index == 0).changesSince(ask.index);
     }
     std::string body = encode(reply);
     m_metrics.count("pepperlug_news_bytes{to=\"entry\"}", body.size());
@@ -201,7 +201,7 @@
     }
     const RoutingHistory &history = historyFor(knowsNothing);
     reply.routingIndex = history.index();
-    std::vector<std::string> changes = history.since(call.routingIndex);
+    std::vector<std::string> changes = history.changesSince(call.routingIndex);
     const auto addSize = [](std::size_t sum, const std::string &it) {
         return sum + it.size();
     };
--- a/lib/Routes/RoutingNews.cpp
+++ b/lib/Routes/RoutingNews.cpp
@@ -481,7 +481,7 @@
     return m_newest;
 }
 
-std::vector<std::string> RoutingHistory::since(std::uint64_t index) const
+std::vector<std::string> RoutingHistory::changesSince(std::uint64_t index) const
 {
     if (index >= m_newest.index) {
         return {};
--- a/unittests/LateNews/RoutingOnItsWayTest.cpp
+++ b/unittests/LateNews/RoutingOnItsWayTest.cpp
@@ -110,7 +110,7 @@
         reply.isWhole = ask.since == 0;
         reply.routingIndex = newestIndex;
         if (ask.routingIndex == 0) {
-            reply.routingChanges = m_first.since(0);
+            reply.routingChanges = m_first.changesSince(0);
         } else if (m_newest == Newest::Unreadable && ask.routingIndex < newestIndex) {
             reply.routingChanges = {"no change"};
         }
--- a/unittests/Routes/RoutingNewsTest.cpp
+++ b/unittests/Routes/RoutingNewsTest.cpp
@@ -254,11 +254,11 @@
             history.append(views.back());
             for (const RoutingView &it : views) {
                 const RoutingView before = copyOf(it);
-                const std::vector<std::string> changes = history.since(it.index);
+                const std::vector<std::string> changes = history.changesSince(it.index);
                 RC_ASSERT(isSame(applyRoutingChanges(it, changes, Peer), views.back()));
                 RC_ASSERT(isSame(it, before));
                 RC_ASSERT(changes.empty() == (it.index == views.back().index));
-                RC_ASSERT(bytesIn(changes) <= bytesIn(history.since(0)));
+                RC_ASSERT(bytesIn(changes) <= bytesIn(history.changesSince(0)));
                 longest = std::max(longest, changes.size());
             }
         }
@@ -275,7 +275,7 @@
         for (int n = 0; n < 30; ++n) {
             history.append(author.next());
             if (*rc::gen::inRange(0, 3) == 0) {
-                reader = applyRoutingChanges(reader, history.since(reader.index), Peer);
+                reader = applyRoutingChanges(reader, history.changesSince(reader.index), Peer);
                 RC_ASSERT(isSame(reader, history.view()));
             }
         }
@@ -286,12 +286,12 @@
 {
     RoutingHistory history;
     CHECK(history.index() == 0);
-    CHECK(history.since(0).empty());
+    CHECK(history.changesSince(0).empty());
     history.append(viewOf(7, tableOf(5)));
     CHECK(history.index() == 7);
-    CHECK(history.since(7).empty());
-    CHECK(history.since(8).empty());
-    CHECK(history.since(6).size() == 1);
+    CHECK(history.changesSince(7).empty());
+    CHECK(history.changesSince(8).empty());
+    CHECK(history.changesSince(6).size() == 1);
 }
 
 TEST_CASE("a view that is not newer than the last is ignored")
@@ -302,7 +302,7 @@
     history.append(viewOf(6, tableOf(4, 1)));
     CHECK(history.index() == 7);
     CHECK(history.view().table->version == 2);
-    const RoutingView reader = applyRoutingChanges({}, history.since(0), Peer);
+    const RoutingView reader = applyRoutingChanges({}, history.changesSince(0), Peer);
     CHECK(isSame(reader, history.view()));
 }
 
@@ -312,18 +312,18 @@
     history.append(viewOf(3, tableOf(40)));
     history.append(viewOf(6, tableOf(40), {"z1"}));
     history.append(viewOf(9, tableOf(40), {"z2"}));
-    CHECK(history.since(6).size() == 1);
-    CHECK(history.since(3).size() == 2);
-    CHECK(history.since(5) == history.since(0));
+    CHECK(history.changesSince(6).size() == 1);
+    CHECK(history.changesSince(3).size() == 2);
+    CHECK(history.changesSince(5) == history.changesSince(0));
 }
 
 TEST_CASE("an evacuation carries no routes, and the reader keeps its table")
 {
     RoutingHistory history;
     history.append(viewOf(1, tableOf(ManyRoutes)));
-    const RoutingView reader = applyRoutingChanges({}, history.since(0), Peer);
+    const RoutingView reader = applyRoutingChanges({}, history.changesSince(0), Peer);
     history.append({2, history.view().table, {"z1"}});
-    const std::vector<std::string> changes = history.since(1);
+    const std::vector<std::string> changes = history.changesSince(1);
     CHECK(expanded(changes.at(0)).find("/area/") == std::string::npos);
     const RoutingView after = applyRoutingChanges(reader, changes, Peer);
     CHECK(isSame(after, history.view()));
@@ -341,9 +341,9 @@
         table.routes[n].services[1].weight = 50;
     }
     history.append(viewOf(2, table));
-    REQUIRE(history.since(1).size() == 1);
-    INFO("bytes: " << bytesIn(history.since(1)) << ", of the whole: " << bytesIn(history.since(0)));
-    CHECK(bytesIn(history.since(1)) < 1024);
+    REQUIRE(history.changesSince(1).size() == 1);
+    INFO("bytes: " << bytesIn(history.changesSince(1)) << ", of the whole: " << bytesIn(history.changesSince(0)));
+    CHECK(bytesIn(history.changesSince(1)) < 1024);
 }
 
 TEST_CASE("a key taken away from one of 76 tenants is told in less than 300 bytes")
@@ -355,7 +355,7 @@
     }
     RoutingHistory history;
     history.append(viewOf(1, table));
-    const std::size_t limits = bytesIn(history.since(0));
+    const std::size_t limits = bytesIn(history.changesSince(0));
     table.version = 2;
     table.tenants[7].keyDigests.pop_back();
     history.append(viewOf(2, table));
@@ -365,7 +365,7 @@
     without.append(viewOf(1, plain));
     plain.version = 2;
     without.append(viewOf(2, plain));
-    CHECK(bytesIn(history.since(1)) < bytesIn(without.since(1)) + 300);
+    CHECK(bytesIn(history.changesSince(1)) < bytesIn(without.changesSince(1)) + 300);
     CHECK(limits > 76 * 2 * 16);
     const RoutingView reader =
         applyRoutingChanges(viewOf(1,
@@ -375,7 +375,7 @@
                                        old.tenants[7].keyDigests.push_back(digestOfSecret("tenant-7's second"));
                                        return old;
                                    }()),
-                            history.since(1), Peer);
+                            history.changesSince(1), Peer);
     CHECK(isSame(reader, history.view()));
 }
 
@@ -391,7 +391,7 @@
     RouteTable other = table;
     other.version = 1;
     other.tenants = {{"t1", {"k2"}}};
-    CHECK_THROWS_AS(applyRoutingChanges(viewOf(3, other), history.since(3), Peer), Error);
+    CHECK_THROWS_AS(applyRoutingChanges(viewOf(3, other), history.changesSince(3), Peer), Error);
 }
 
 TEST_CASE("1,400 added routes are told in less than 60 KB")
@@ -399,9 +399,9 @@
     RoutingHistory history;
     history.append(viewOf(1, tableOf(ManyRoutes - 1400, 1)));
     history.append(viewOf(2, tableOf(ManyRoutes, 2)));
-    REQUIRE(history.since(1).size() == 1);
-    INFO("bytes: " << bytesIn(history.since(1)) << ", of the whole: " << bytesIn(history.since(0)));
-    CHECK(bytesIn(history.since(1)) < 60 * 1024);
+    REQUIRE(history.changesSince(1).size() == 1);
+    INFO("bytes: " << bytesIn(history.changesSince(1)) << ", of the whole: " << bytesIn(history.changesSince(0)));
+    CHECK(bytesIn(history.changesSince(1)) < 60 * 1024);
 }
 
 TEST_CASE("a reader too far behind gets the whole, in one change that applies to anything")
@@ -414,15 +414,15 @@
         views.push_back(viewOf(n, std::move(table)));
         history.append(views.back());
     }
-    const std::vector<std::string> whole = history.since(0);
+    const std::vector<std::string> whole = history.changesSince(0);
     REQUIRE(whole.size() == 1);
-    CHECK(history.since(1) == whole);
-    CHECK(history.since(299) != whole);
+    CHECK(history.changesSince(1) == whole);
+    CHECK(history.changesSince(299) != whole);
     CHECK(isSame(applyRoutingChanges({}, whole, Peer), views.back()));
     CHECK(isSame(applyRoutingChanges(views.front(), whole, Peer), views.back()));
     // Those that are not far behind get no more than the whole together.
     const auto behind = [&](std::uint64_t n) {
-        return bytesIn(history.since(300 - n));
+        return bytesIn(history.changesSince(300 - n));
     };
     CHECK(behind(2) > behind(1));
     CHECK(behind(2) < bytesIn(whole));
@@ -437,8 +437,8 @@
         other.routes.push_back(routeAt(5000 + n));
     }
     history.append(viewOf(2, std::move(other)));
-    CHECK(history.since(1) == history.since(0));
-    CHECK(isSame(applyRoutingChanges({}, history.since(1), Peer), history.view()));
+    CHECK(history.changesSince(1) == history.changesSince(0));
+    CHECK(isSame(applyRoutingChanges({}, history.changesSince(1), Peer), history.view()));
 }
 
 TEST_CASE("a change upon another index than the reader's is an error that names the peer")
@@ -447,7 +447,7 @@
     history.append(viewOf(3, tableOf(40)));
     history.append(viewOf(5, tableOf(40), {"z1"}));
     history.append(viewOf(9, tableOf(41, 2), {"z1"}));
-    const std::vector<std::string> changes = history.since(3);
+    const std::vector<std::string> changes = history.changesSince(3);
     REQUIRE(changes.size() == 2);
     const RoutingView first = viewOf(3, tableOf(40));
     const auto failsOn = [&](const RoutingView &from, const std::vector<std::string> &told) {
@@ -482,14 +482,14 @@
     RouteTable next = tableOf(20, 2);
     next.routes[3].attempts = 7;
     told.append(viewOf(2, next));
-    const RoutingView reader = applyRoutingChanges({}, other.since(0), Peer);
+    const RoutingView reader = applyRoutingChanges({}, other.changesSince(0), Peer);
     try {
-        applyRoutingChanges(reader, told.since(1), Peer);
+        applyRoutingChanges(reader, told.changesSince(1), Peer);
         FAIL("it was taken");
     } catch (const Error &ex) {
         CHECK(std::string(ex.what()).find(Peer) != std::string::npos);
     }
-    const RoutingView mended = applyRoutingChanges(reader, told.since(0), Peer);
+    const RoutingView mended = applyRoutingChanges(reader, told.changesSince(0), Peer);
     CHECK(hasSameRoutes(*mended.table, next));
 }
 
@@ -501,7 +501,7 @@
     // The reader says that it knows index 3, but knows another table.
     const RoutingView reader = viewOf(3, tableOf(20, 1));
     try {
-        applyRoutingChanges(reader, history.since(3), Peer);
+        applyRoutingChanges(reader, history.changesSince(3), Peer);
         FAIL("it was applied");
     } catch (const Error &ex) {
         CHECK(ex.peer() == Peer);
@@ -524,8 +524,8 @@
         history.append(reader);
         history.append(viewOf(2, tableOf(42, 2), {"z1"}));
         newest = history.view();
-        change = history.since(1).at(0);
-        whole = history.since(0).at(0);
+        change = history.changesSince(1).at(0);
+        whole = history.changesSince(0).at(0);
     }
 
     /// One of the two.
@@ -648,7 +648,7 @@
     RoutingHistory history;
     history.append(viewOf(1, std::move(table)));
     try {
-        applyRoutingChanges({}, history.since(0), Peer);
+        applyRoutingChanges({}, history.changesSince(0), Peer);
         FAIL("it was applied");
     } catch (const Error &ex) {
         CHECK(ex.peer() == Peer);
