--- a/include/pepperlug/Routes.h
+++ b/include/pepperlug/Routes.h
@@ -98,7 +98,7 @@
     /// Route with the longest prefix of the path among those of the host; null if there is none.
     const Route *match(std::string_view host, std::string_view path) const;
     const ServiceTraits *service(std::string_view name) const;
-    std::size_t routesWithHomes() const;
+    std::size_t routesWithHomeRegions() const;
     /// Whether some requests may be served in some regions only, by their route or their tenant.
     bool hasHomes() const;
 };
--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -98,7 +98,7 @@
                        {{"index", after.index},
                         {"table", after.table->version},
                         {"routes", after.table->routes.size()},
-                        {"routes_with_homes", after.table->routesWithHomes()},
+                        {"routes_with_homes", after.table->routesWithHomeRegions()},
                         {"tenants", after.table->tenants.size()},
                         {"evacuated", after.evacuatedZones},
                         {"from", from.text()}});
--- a/lib/Routes/RouteTable.cpp
+++ b/lib/Routes/RouteTable.cpp
@@ -110,7 +110,7 @@
     return best;
 }
 
-std::size_t RouteTable::routesWithHomes() const
+std::size_t RouteTable::routesWithHomeRegions() const
 {
     return static_cast<std::size_t>(
         std::count_if(routes.begin(), routes.end(), [](const Route &it) { return !it.homeRegions.empty(); }));
@@ -121,7 +121,7 @@
     const auto isBound = [](const Tenant &it) {
         return !it.homeRegions.empty();
     };
-    return routesWithHomes() > 0 || std::any_of(tenants.begin(), tenants.end(), isBound);
+    return routesWithHomeRegions() > 0 || std::any_of(tenants.begin(), tenants.end(), isBound);
 }
 
 const ServiceTraits *RouteTable::service(std::string_view name) const
--- a/unittests/Routes/RoutesTest.cpp
+++ b/unittests/Routes/RoutesTest.cpp
@@ -180,7 +180,7 @@
     CHECK_FALSE(bound.hasHomes());
     bound.tenants = {{"t1", {"k1"}, {}, {}, {"r1"}}};
     CHECK(bound.hasHomes());
-    CHECK(bound.routesWithHomes() == 0);
+    CHECK(bound.routesWithHomeRegions() == 0);
 }
 
 TEST_CASE("a weight below 0 is a finding although the sum is positive")
