--- a/include/pepperlug/Routes.h
+++ b/include/pepperlug/Routes.h
@@ -100,7 +100,7 @@
     const ServiceTraits *service(std::string_view name) const;
     std::size_t routesWithHomeRegions() const;
     /// Whether some requests may be served in some regions only, by their route or their tenant.
-    bool hasHomes() const;
+    bool hasHomeRegions() const;
 };
 
 /// Finds the routes and tenants of a table that no longer changes, without walking all of them.
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -346,7 +346,7 @@
         return;
     }
     const RoutingView &view = m_history.view();
-    m_hasHomes = view.table && view.table->hasHomes();
+    m_hasHomes = view.table && view.table->hasHomeRegions();
 }
 
 void RegistryDaemon::Impl::statusChanged(const ControlLogStatus &status)
--- a/lib/Routes/RouteTable.cpp
+++ b/lib/Routes/RouteTable.cpp
@@ -116,7 +116,7 @@
         std::count_if(routes.begin(), routes.end(), [](const Route &it) { return !it.homeRegions.empty(); }));
 }
 
-bool RouteTable::hasHomes() const
+bool RouteTable::hasHomeRegions() const
 {
     const auto isBound = [](const Tenant &it) {
         return !it.homeRegions.empty();
--- a/unittests/Routes/RoutesTest.cpp
+++ b/unittests/Routes/RoutesTest.cpp
@@ -177,9 +177,9 @@
     for (Route &it : bound.routes) {
         it.homeRegions.clear();
     }
-    CHECK_FALSE(bound.hasHomes());
+    CHECK_FALSE(bound.hasHomeRegions());
     bound.tenants = {{"t1", {"k1"}, {}, {}, {"r1"}}};
-    CHECK(bound.hasHomes());
+    CHECK(bound.hasHomeRegions());
     CHECK(bound.routesWithHomeRegions() == 0);
 }
 
