--- a/lib/Registry/Registry.cpp
+++ b/lib/Registry/Registry.cpp
@@ -1,8 +1,8 @@
 //===- Registry.cpp - Reports of targets and hosts ------------------------===//
 //
-// Refreshes that say nothing new only matter to other control hosts, which must know that a reporter is alive; they are
-// passed on as renewals, a few bytes each. Entry hosts are told of changes alone. The load of a host changes all the
-// time; it travels with whatever is sent next and is never a reason to send. Hence three versions for each entry.
+// A report without a change matters only to other control hosts, which must know that its author is alive; it is passed
+// on as a renewal of a few bytes. Entry hosts receive changes alone. The load of a host changes all the time; it is
+// sent along with the next update and is never a reason to send one. Hence three versions for each entry.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Registry.h"
@@ -16,15 +16,16 @@
 namespace
 {
 
-/// A cold time that moves by less than this between two reports is the same one.
+/// Difference below which the ends of the cold time in two reports are the same.
 constexpr Milliseconds ColdTolerance{600};
-/// Use of a link that moves by less is not worth a message.
+/// Change of a link's use below which it is not sent again.
 constexpr double LinkUseTolerance = 0.1;
-/// Demand that moves by less than this part is not worth a message.
+/// Change of a demand below which it is not sent again, as a fraction of the larger value, or of one slot if that is
+/// more.
 constexpr double DemandTolerance = 0.1;
 
-// Both reports speak of the time left, each as of its own arrival.
-bool endsColdAlike(const Registry::TargetEntry &old, const TargetReport &report, TimePoint receivedAt)
+// Each report holds the time left as of its own receipt.
+bool hasSameColdEnd(const Registry::TargetEntry &old, const TargetReport &report, TimePoint receivedAt)
 {
     const TimePoint before = old.receivedAt + old.report.coldLeft;
     const TimePoint after = receivedAt + report.coldLeft;
@@ -33,14 +34,14 @@
     return wasCold == isCold && (!isCold || std::chrono::abs(after - before) < ColdTolerance);
 }
 
-bool isAlike(const Registry::TargetEntry &old, const TargetReport &report, TimePoint receivedAt)
+bool isEquivalent(const Registry::TargetEntry &old, const TargetReport &report, TimePoint receivedAt)
 {
     const TargetReport &before = old.report;
     return before.presence == report.presence && before.slots == report.slots && before.address == report.address
-        && before.service == report.service && before.zone == report.zone && endsColdAlike(old, report, receivedAt);
+        && before.service == report.service && before.zone == report.zone && hasSameColdEnd(old, report, receivedAt);
 }
 
-bool isAlike(const std::vector<ServiceDemand> &lhs, const std::vector<ServiceDemand> &rhs)
+bool isEquivalent(const std::vector<ServiceDemand> &lhs, const std::vector<ServiceDemand> &rhs)
 {
     return std::equal(
         lhs.begin(), lhs.end(), rhs.begin(), rhs.end(), [](const ServiceDemand &before, const ServiceDemand &after) {
@@ -49,29 +50,30 @@
         });
 }
 
-bool isAlike(const Registry::HostEntry &old, const HostReport &report, TimePoint)
+bool isEquivalent(const Registry::HostEntry &old, const HostReport &report, TimePoint)
 {
     return old.report.presence == report.presence && old.report.address == report.address;
 }
 
-bool isLoadAlike(const TargetReport &, const TargetReport &)
+bool isLoadEquivalent(const TargetReport &, const TargetReport &)
 {
-    return true; // a target tells its load with its answers
+    return true; // a target reports its load in its answers
 }
 
-bool isLoadAlike(const HostReport &old, const HostReport &report)
+bool isLoadEquivalent(const HostReport &old, const HostReport &report)
 {
-    // A host tells its tenants' demand anew only where it differs enough.
-    return isAlike(old.demand, report.demand) && std::abs(old.linkUse - report.linkUse) < LinkUseTolerance
+    // A host reports another demand of its tenants only where it differs enough, so any difference counts.
+    return isEquivalent(old.demand, report.demand) && std::abs(old.linkUse - report.linkUse) < LinkUseTolerance
         && old.tenants == report.tenants;
 }
 
-// What was told stays until it differs enough to be told again; otherwise a slow rise would never be told.
-void keepLoadOf(const TargetReport &, TargetReport &)
+// Keeps the load that was sent until the load differs enough to be sent again; otherwise a slow rise would never be
+// sent.
+void keepLoad(const TargetReport &, TargetReport &)
 {
 }
 
-void keepLoadOf(const HostReport &old, HostReport &report)
+void keepLoad(const HostReport &old, HostReport &report)
 {
     report.demand = old.demand;
     report.linkUse = old.linkUse;
@@ -88,18 +90,18 @@
     return false;
 }
 
-Milliseconds startOf(const TargetReport &report)
+Milliseconds startTimeOf(const TargetReport &report)
 {
     return report.startedAt;
 }
 
 // A host draws a new id at each start.
-Milliseconds startOf(const HostReport &)
+Milliseconds startTimeOf(const HostReport &)
 {
     return Milliseconds(0);
 }
 
-// Of all that isAlike() compares, but for the cold time, which runs down by itself.
+// Covers what isEquivalent() compares, except the cold time, which runs down by itself.
 std::uint32_t digestOf(const TargetReport &report)
 {
     const std::string text = std::string(nameOf(report.presence)) + "|" + std::to_string(report.slots) + "|"
@@ -112,17 +114,17 @@
     return static_cast<std::uint32_t>(hash64(std::string(nameOf(report.presence)) + "|" + report.address));
 }
 
-void shorten(TargetReport &report, Duration passed)
+void reduceColdTime(TargetReport &report, Duration passed)
 {
     report.coldLeft = std::max(Milliseconds(0), report.coldLeft - std::chrono::duration_cast<Milliseconds>(passed));
 }
 
-void shorten(HostReport &, Duration)
+void reduceColdTime(HostReport &, Duration)
 {
 }
 
 template <typename Report>
-AgedReport<Report> aged(const Registry::Entry<Report> &entry, TimePoint now)
+AgedReport<Report> withAge(const Registry::Entry<Report> &entry, TimePoint now)
 {
     return {entry.report, std::chrono::duration_cast<Milliseconds>(now - entry.receivedAt), entry.isSilent};
 }
@@ -142,15 +144,15 @@
     return "gone";
 }
 
-TargetReport departureOf(const TargetReport &known, const TargetReport &said)
+TargetReport departureOf(const TargetReport &known, const TargetReport &reported)
 {
     TargetReport departure = known;
     departure.presence = Presence::Gone;
-    const bool isKnownLife = said.startedAt == Milliseconds(0) || said.startedAt == known.startedAt;
-    if (isKnownLife) {
+    const bool isKnownIncarnation = reported.startedAt == Milliseconds(0) || reported.startedAt == known.startedAt;
+    if (isKnownIncarnation) {
         ++departure.sequence;
     } else {
-        departure.startedAt = said.startedAt;
+        departure.startedAt = reported.startedAt;
     }
     return departure;
 }
@@ -161,33 +163,33 @@
 }
 
 template <typename Report>
-bool Registry::take(std::map<std::string, Entry<Report>> &table, const Report &report, TimePoint receivedAt,
-                    bool isDirect)
+bool Registry::apply(std::map<std::string, Entry<Report>> &table, const Report &report, TimePoint receivedAt,
+                     bool isDirect)
 {
     const auto [it, isNewId] = table.try_emplace(report.id);
     Entry<Report> &entry = it->second;
-    if (!isNewId && startOf(report) < startOf(entry.report)) {
+    if (!isNewId && startTimeOf(report) < startTimeOf(entry.report)) {
         return false;
     }
-    const bool isNew = isNewId || startOf(report) > startOf(entry.report);
+    const bool isNew = isNewId || startTimeOf(report) > startTimeOf(entry.report);
     if (isNew) {
-        entry = {}; // nothing that was known of the incarnation before holds for this one
+        entry = {}; // nothing known of the previous incarnation holds for this one
     }
     const bool hasEnded = !isNew && entry.report.presence == Presence::Gone;
-    // An end is final whatever its number: whoever passed it on may not have known the newest one.
+    // An end is final whatever its sequence number: the host that passed it on may not have known the latest one.
     const bool isLate = !isNew && report.presence != Presence::Gone && report.sequence <= entry.report.sequence;
     if (hasEnded || isLate) {
         return false;
     }
     const bool isDeparture = report.presence != Presence::Ready;
-    // A departure that was heard from others is told again by the host that hears it from its author: whoever told of
-    // it first may have ended, and this host is asked for the promise now.
-    const bool isAsked = isDirect && isDeparture && !entry.isDirect;
-    const bool matters = isNew || entry.isSilent || isAsked || !isAlike(entry, report, receivedAt);
-    const bool isLoadKept = !isNew && isLoadAlike(entry.report, report);
+    // A departure that came from another host is sent again once its author reports it here: the host that sent it
+    // first may have stopped, and the author now waits for this host to acknowledge it.
+    const bool needsResend = isDirect && isDeparture && !entry.isDirect;
+    const bool isSignificant = isNew || entry.isSilent || needsResend || !isEquivalent(entry, report, receivedAt);
+    const bool isLoadKept = !isNew && isLoadEquivalent(entry.report, report);
     Report kept = report;
     if (isLoadKept) {
-        keepLoadOf(entry.report, kept);
+        keepLoad(entry.report, kept);
     }
     entry.report = std::move(kept);
     entry.receivedAt = receivedAt;
@@ -197,15 +199,15 @@
     if (!isLoadKept) {
         entry.loadVersion = m_version;
     }
-    if (matters) {
-        noteChange(entry);
+    if (isSignificant) {
+        recordEntryChange(entry);
     }
     return true;
 }
 
-// The version was raised before.
+// The caller has increased the version.
 template <typename Report>
-void Registry::noteChange(Entry<Report> &entry)
+void Registry::recordEntryChange(Entry<Report> &entry)
 {
     entry.changedVersion = m_version;
     m_changedVersion = m_version;
@@ -213,37 +215,37 @@
 
 bool Registry::receive(const TargetReport &report, TimePoint now)
 {
-    const bool isTaken = take(m_targets, report, now, true);
-    if (isTaken) {
-        settleAddress(report);
+    const bool isApplied = apply(m_targets, report, now, true);
+    if (isApplied) {
+        resolveAddressConflict(report);
     } else if (report.presence != Presence::Ready) {
-        hearAgain(report);
+        recordDirectDeparture(report);
     }
-    return isTaken;
+    return isApplied;
 }
 
-// As in take(), for a departure that says nothing that is not known.
-void Registry::hearAgain(const TargetReport &report)
+// Does what apply() does for a departure that came from another host first, where the report holds nothing new.
+void Registry::recordDirectDeparture(const TargetReport &report)
 {
     TargetEntry &entry = m_targets[report.id];
-    const bool isOfKnownLife = entry.report.startedAt == report.startedAt;
-    if (entry.isDirect || !isOfKnownLife) {
+    const bool isOfKnownIncarnation = entry.report.startedAt == report.startedAt;
+    if (entry.isDirect || !isOfKnownIncarnation) {
         return;
     }
     entry.isDirect = true;
     entry.receivedVersion = ++m_version;
-    noteChange(entry);
+    recordEntryChange(entry);
 }
 
 bool Registry::receive(const HostReport &report, TimePoint now)
 {
-    return take(m_hosts, report, now, true);
+    return apply(m_hosts, report, now, true);
 }
 
-// An address is that of the incarnation that was heard from last. A report may be late by the time of a cut, and come
-// after its author has ended and another one has taken its address; so the others have not ended by that, they are
-// taken to be silent. Whoever lives reports again and has the address from then on.
-void Registry::settleAddress(const TargetReport &report)
+// An address belongs to the incarnation whose report was received last. A network partition may delay a report until
+// its author has ended and another target has its address; so the other targets at the address are marked silent, not
+// gone. The one that is alive reports again and has the address from then on.
+void Registry::resolveAddressConflict(const TargetReport &report)
 {
     if (report.presence != Presence::Ready) {
         return;
@@ -261,18 +263,18 @@
         if (isAt(entry) && &entry != holder && !entry.isSilent) {
             entry.isSilent = true;
             entry.receivedVersion = ++m_version;
-            noteChange(entry);
+            recordEntryChange(entry);
         }
     }
 }
 
-// An entry host has its address for itself.
-void Registry::settleAddress(const HostReport &)
+// An entry host shares its address with no other.
+void Registry::resolveAddressConflict(const HostReport &)
 {
 }
 
 template <typename Report>
-bool Registry::renew(std::map<std::string, Entry<Report>> &table, const Renewal &renewal, TimePoint now)
+bool Registry::applyRenewal(std::map<std::string, Entry<Report>> &table, const Renewal &renewal, TimePoint now)
 {
     const auto it = table.find(renewal.id);
     if (it == table.end()) {
@@ -280,8 +282,8 @@
     }
     const TimePoint receivedAt = now - renewal.age;
     Report report = it->second.report;
-    if (renewal.startedAt != startOf(report)) {
-        return renewal.startedAt < startOf(report);
+    if (renewal.startedAt != startTimeOf(report)) {
+        return renewal.startedAt < startTimeOf(report);
     }
     const bool isOlder = renewal.sequence <= report.sequence || report.presence == Presence::Gone;
     if (isOlder) {
@@ -291,10 +293,10 @@
         return false;
     }
     report.sequence = renewal.sequence;
-    // What the last report said of its future is counted from the renewal now.
-    shorten(report, receivedAt - it->second.receivedAt);
-    if (take(table, report, receivedAt, false)) {
-        settleAddress(report);
+    // The cold time left in the last report counts from the renewal now.
+    reduceColdTime(report, receivedAt - it->second.receivedAt);
+    if (apply(table, report, receivedAt, false)) {
+        resolveAddressConflict(report);
     }
     return true;
 }
@@ -302,16 +304,16 @@
 bool Registry::merge(const RegistryChanges &changes, TimePoint now)
 {
     for (const AgedReport<TargetReport> &it : changes.targets) {
-        if (take(m_targets, it.report, now - it.age, false)) {
-            settleAddress(it.report);
+        if (apply(m_targets, it.report, now - it.age, false)) {
+            resolveAddressConflict(it.report);
         }
     }
     for (const AgedReport<HostReport> &it : changes.hosts) {
-        take(m_hosts, it.report, now - it.age, false);
+        apply(m_hosts, it.report, now - it.age, false);
     }
     bool isAllKnown = true;
     for (const Renewal &it : changes.renewals) {
-        isAllKnown &= renew(m_targets, it, now) || renew(m_hosts, it, now);
+        isAllKnown &= applyRenewal(m_targets, it, now) || applyRenewal(m_hosts, it, now);
     }
     return isAllKnown;
 }
@@ -330,7 +332,7 @@
         if (mayExpire && !hasEnded && age > expiry) {
             entry.isSilent = true;
             ++m_version;
-            noteChange(entry);
+            recordEntryChange(entry);
         }
         ++it;
     }
@@ -351,11 +353,11 @@
                 continue;
             }
             if (version == 0 || std::max(entry.changedVersion, entry.loadVersion) > version) {
-                whole.push_back(aged(entry, now));
+                whole.push_back(withAge(entry, now));
             } else {
                 const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.receivedAt);
                 changes.renewals.push_back({id, entry.report.sequence, age, digestOf(entry.report),
-                                            isCold(entry.report), startOf(entry.report)});
+                                            isCold(entry.report), startTimeOf(entry.report)});
             }
         }
     };
@@ -383,8 +385,7 @@
         const HostReport &report = entry.report;
         return report.role == HostRole::Entry && report.presence != Presence::Gone && now - entry.receivedAt <= hold;
     };
-    std::unordered_map<std::string_view, const HostEntry *>
-        newest; // by address: a host that starts again has another id
+    std::unordered_map<std::string_view, const HostEntry *> newest; // by address: a host that restarts has another id
     for (const auto &[id, entry] : m_hosts) {
         if (isCounted(entry)) {
             const HostEntry *&known = newest[entry.report.address];
@@ -421,12 +422,12 @@
     RegistryChanges changes;
     for (const auto &[id, entry] : m_targets) {
         if (entry.changedVersion > version) {
-            changes.targets.push_back(aged(entry, now));
+            changes.targets.push_back(withAge(entry, now));
         }
     }
     for (const auto &[id, entry] : m_hosts) {
         if (entry.changedVersion > version) {
-            changes.hosts.push_back(aged(entry, now));
+            changes.hosts.push_back(withAge(entry, now));
         }
     }
     return changes;
--- a/lib/Registry/UpdateConfirmations.cpp
+++ b/lib/Registry/UpdateConfirmations.cpp
@@ -1,13 +1,14 @@
-//===- UpdateConfirmations.cpp - Who has confirmed what news ----------------===//
+//===- UpdateConfirmations.cpp - Which hosts have confirmed which updates -===//
 //
-// A control host only hears from its own followers. Of all others it knows by the confirmations of the other control
-// hosts, each of which speaks for those that follow it in the moment in which it confirms. What a host confirms may
-// therefore go back, as when an entry host comes to it that knows less; it is never wrong to confirm too little.
+// A control host receives polls from its own followers alone. All others it covers by the confirmations of the other
+// control hosts, each of which includes the hosts that follow it at the time of the confirmation. Confirmed versions
+// may therefore decrease, as when an entry host with older versions begins to follow; to confirm too little is always
+// safe.
 //
-// A confirmation of a position is made after the position has come to be. So if nothing is missing at a time T, each
-// entry host has the news that asked a control host within the lease before T and before the news arose, wherever it
-// went since: the control host that it asked then counts it until T. That holds only as long as nobody forgets a
-// follower before its lease is over, which is why a host that has moved is left to its lease.
+// A confirmation of a version is made after the version exists. So if no confirmation is missing at a time T, an entry
+// host has the update if it polled a control host within the lease before T and before the update was made, whichever
+// control host it has followed since: the one that it polled then counts it until T. That holds only as long as no
+// follower is removed before its lease is over, which is why a host that has moved keeps its lease.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Registry.h"
@@ -21,16 +22,16 @@
 namespace
 {
 
-/// Pairs of versions kept for each control host. Several replies arrive in each tick of 25 ms at most, and followers
-/// answer within about a second: some hundred pairs tell all that is of use.
-constexpr std::size_t MostPairs = 256;
-/// Leases after which a silent follower is forgotten. Beyond the first it is not waited for; the second leaves room for
-/// callers whose times were read in another order.
-constexpr int LeasesUntilForgotten = 2;
+/// Pairs of versions kept for each control host. At most several replies arrive in each tick of 25 ms, and followers
+/// confirm within about a second: a few hundred pairs hold all that is of use.
+constexpr std::size_t MaxVersionPairs = 256;
+/// Leases after which a silent follower is removed. After the first it is not waited for; the second allows for callers
+/// whose times were read in another order.
+constexpr int LeasesUntilRemoved = 2;
 
-// The first pair that a host at an own version has not come to.
+// Returns the first pair that a host at version `own` has not reached.
 template <typename Pairs>
-auto firstBeyond(Pairs &pairs, std::uint64_t own)
+auto firstUnreached(Pairs &pairs, std::uint64_t own)
 {
     return std::partition_point(pairs.begin(), pairs.end(), [&](const auto &pair) { return pair.own <= own; });
 }
@@ -47,7 +48,7 @@
     return now - follower.polledAt <= m_lease;
 }
 
-UpdateVersions UpdateConfirmations::lowestOfFollowers(TimePoint now) const
+UpdateVersions UpdateConfirmations::lowestFollowerVersions(TimePoint now) const
 {
     UpdateVersions lowest = UpdateVersions::max();
     for (const auto &[id, follower] : m_followers) {
@@ -60,15 +61,15 @@
     return lowest;
 }
 
-void UpdateConfirmations::recordPoll(const std::string &id, UpdateVersions has, TimePoint now)
+void UpdateConfirmations::recordPoll(const std::string &id, UpdateVersions applied, TimePoint now)
 {
     Follower &follower = m_followers[id];
     follower.polledAt = now;
-    follower.applied = has;
-    if (has.routingIndex == 0) {
+    follower.applied = applied;
+    if (applied.routingIndex == 0) {
         follower.applied.routingIndex = follower.sentRoutingIndex;
     }
-    collapse(now);
+    dropReachedPairs(now);
 }
 
 void UpdateConfirmations::renewFollowerLease(const std::string &id, TimePoint now)
@@ -76,19 +77,19 @@
     m_followers[id].polledAt = now;
 }
 
-// Hosts that restart in series would otherwise hold up everything: each waits for its first reply about as long as
-// passes until the next one restarts. Measured by "hosts that restart in series hold up neither departures nor
-// changes": nothing is acknowledged in 2 s without it, and all with it.
-void UpdateConfirmations::recordFirstReply(const std::string &id, UpdateVersions told)
+// Without this, hosts that restart in series would delay every acknowledgement: each waits for its first reply about as
+// long as passes until the next one restarts. In the test "hosts that restart in series hold up neither departures nor
+// changes" nothing is acknowledged within 2 s without it, and everything with it.
+void UpdateConfirmations::recordFirstReply(const std::string &id, UpdateVersions sent)
 {
     const auto it = m_followers.find(id);
-    const bool hasNothing = it != m_followers.end() && it->second.applied.registryVersion == 0
+    const bool hasNoUpdates = it != m_followers.end() && it->second.applied.registryVersion == 0
         && it->second.applied.routingIndex == it->second.sentRoutingIndex;
-    if (!hasNothing) {
+    if (!hasNoUpdates) {
         return;
     }
-    it->second.applied = told;
-    it->second.sentRoutingIndex = told.routingIndex;
+    it->second.applied = sent;
+    it->second.sentRoutingIndex = sent.routingIndex;
 }
 
 std::optional<UpdateConfirmations::Follower> UpdateConfirmations::follower(const std::string &id) const
@@ -105,75 +106,76 @@
 void UpdateConfirmations::recordMerge(const std::string &peer, const std::string &epoch, std::uint64_t theirs,
                                       std::uint64_t own)
 {
-    MergedNews &news = m_merged[peer];
-    if (news.epoch != epoch) {
-        news = {epoch, {}};
+    MergedUpdates &updates = m_merged[peer];
+    if (updates.epoch != epoch) {
+        updates = {epoch, {}};
     }
-    std::vector<VersionPair> &pairs = news.pairs;
-    const bool saysNothingNew = !pairs.empty() && theirs <= pairs.back().theirs;
-    if (saysNothingNew) {
+    std::vector<VersionPair> &pairs = updates.pairs;
+    const bool isKnown = !pairs.empty() && theirs <= pairs.back().theirs;
+    if (isKnown) {
         return;
     }
-    // Nothing changed here since, so whoever has come as far as before has the later news too.
+    // The later updates changed nothing here, so a host that has reached this version has them too.
     while (!pairs.empty() && pairs.back().own >= own) {
         pairs.pop_back();
     }
-    // To drop a pair only means to confirm less for a while. The old ones are what a slow follower comes to first.
-    if (pairs.size() == MostPairs) {
+    // Dropping a pair only confirms less for a while. The older pairs are those that a slow follower reaches first.
+    if (pairs.size() == MaxVersionPairs) {
         pairs.pop_back();
     }
     pairs.push_back({theirs, own});
 }
 
-// A follower that goes back below the pair that is left makes this host confirm nothing until it has caught up.
-void UpdateConfirmations::collapse(TimePoint now)
+// Drops all pairs before the last one that every follower has reached. A follower that falls back below that pair makes
+// this host confirm nothing until it has caught up.
+void UpdateConfirmations::dropReachedPairs(TimePoint now)
 {
-    const std::uint64_t reached = lowestOfFollowers(now).registryVersion;
-    for (auto &[peer, news] : m_merged) {
-        const auto beyond = firstBeyond(news.pairs, reached);
-        if (beyond != news.pairs.begin()) {
-            news.pairs.erase(news.pairs.begin(), std::prev(beyond));
+    const std::uint64_t reached = lowestFollowerVersions(now).registryVersion;
+    for (auto &[peer, updates] : m_merged) {
+        const auto unreached = firstUnreached(updates.pairs, reached);
+        if (unreached != updates.pairs.begin()) {
+            updates.pairs.erase(updates.pairs.begin(), std::prev(unreached));
         }
     }
 }
 
 UpdateVersions UpdateConfirmations::versionsConfirmedTo(const std::string &peer, const std::string &epoch,
-                                                        std::uint64_t ownRouting, TimePoint now) const
+                                                        std::uint64_t ownRoutingIndex, TimePoint now) const
 {
-    const UpdateVersions lowest = lowestOfFollowers(now);
-    // Routing is agreed on, so its index means the same everywhere, whoever told it.
-    UpdateVersions upTo{0, std::min(ownRouting, lowest.routingIndex)};
+    const UpdateVersions lowest = lowestFollowerVersions(now);
+    // The routing is replicated by consensus, so its index means the same at every host.
+    UpdateVersions confirmed{0, std::min(ownRoutingIndex, lowest.routingIndex)};
     const auto it = m_merged.find(peer);
     if (it == m_merged.end() || it->second.epoch != epoch) {
-        return upTo;
+        return confirmed;
     }
     const std::vector<VersionPair> &pairs = it->second.pairs;
-    const auto beyond = firstBeyond(pairs, lowest.registryVersion);
-    if (beyond != pairs.begin()) {
-        upTo.registryVersion = std::prev(beyond)->theirs;
+    const auto unreached = firstUnreached(pairs, lowest.registryVersion);
+    if (unreached != pairs.begin()) {
+        confirmed.registryVersion = std::prev(unreached)->theirs;
     }
-    return upTo;
+    return confirmed;
 }
 
-void UpdateConfirmations::recordPeerConfirmation(const std::string &peer, UpdateVersions upTo)
+void UpdateConfirmations::recordPeerConfirmation(const std::string &peer, UpdateVersions confirmed)
 {
-    m_confirmed[peer] = upTo;
+    m_confirmed[peer] = confirmed;
 }
 
-std::vector<std::string> UpdateConfirmations::unconfirmedHosts(UpdateVersions position,
+std::vector<std::string> UpdateConfirmations::unconfirmedHosts(UpdateVersions versions,
                                                                const std::vector<std::string> &peers,
                                                                TimePoint now) const
 {
     std::vector<std::string> names;
     for (const auto &[id, follower] : m_followers) {
-        if (isInLease(follower, now) && !follower.applied.reaches(position)) {
+        if (isInLease(follower, now) && !follower.applied.reaches(versions)) {
             names.push_back(id);
         }
     }
     for (const std::string &peer : peers) {
         const auto it = m_confirmed.find(peer);
-        const UpdateVersions upTo = it == m_confirmed.end() ? UpdateVersions{} : it->second;
-        if (!upTo.reaches(position)) {
+        const UpdateVersions confirmed = it == m_confirmed.end() ? UpdateVersions{} : it->second;
+        if (!confirmed.reaches(versions)) {
             names.push_back(peer);
         }
     }
@@ -187,9 +189,8 @@
     };
     std::erase_if(m_merged, isUnknown);
     std::erase_if(m_confirmed, isUnknown);
-    std::erase_if(m_followers,
-                  [&](const auto &it) { return now - it.second.polledAt > LeasesUntilForgotten * m_lease; });
-    collapse(now);
+    std::erase_if(m_followers, [&](const auto &it) { return now - it.second.polledAt > LeasesUntilRemoved * m_lease; });
+    dropReachedPairs(now);
 }
 
 } // namespace pepperlug::fleet
