--- a/unittests/Registry/CallerSharesTest.cpp
+++ b/unittests/Registry/CallerSharesTest.cpp
@@ -1,4 +1,4 @@
-//===- CallerSharesTest.cpp - Callers sent to another region's hosts ------===//
+//===- CallerSharesTest.cpp - Redirection of callers to other regions -----===//
 #include "pepperlug/Registry.h"
 
 #include <catch2/catch.hpp>
@@ -12,21 +12,21 @@
 
 constexpr auto Step = 250ms;
 
-/// Regions whose callers ask for a load that moves with the callers.
+/// Two regions whose link use follows the redirected callers.
 class Regions
 {
 public:
     Regions(double a, double b)
-        : m_asked{{"a", a}, {"b", b}}
+        : m_demand{{"a", a}, {"b", b}}
     {
     }
 
-    void ask(double a, double b)
+    void setDemand(double a, double b)
     {
-        m_asked = {{"a", a}, {"b", b}};
+        m_demand = {{"a", a}, {"b", b}};
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         for (const TimePoint end = now + time; now < end; now += Step) {
             shares.update(loads(), now);
@@ -36,11 +36,11 @@
     std::map<std::string, RegionLoad> loads() const
     {
         std::map<std::string, RegionLoad> all;
-        for (const auto &[region, asked] : m_asked) {
+        for (const auto &[region, demand] : m_demand) {
             const std::string &other = region == "a" ? "b" : "a";
-            const RedirectedShare leaving = shares.redirectedFrom(region);
-            const RedirectedShare coming = shares.redirectedFrom(other);
-            all[region] = {4, asked * (1 - leaving.fraction) + m_asked.at(other) * coming.fraction};
+            const RedirectedShare outgoing = shares.redirectedFrom(region);
+            const RedirectedShare incoming = shares.redirectedFrom(other);
+            all[region] = {4, demand * (1 - outgoing.fraction) + m_demand.at(other) * incoming.fraction};
         }
         return all;
     }
@@ -49,58 +49,58 @@
     CallerShares shares;
 
 private:
-    std::map<std::string, double> m_asked;
+    std::map<std::string, double> m_demand;
 };
 
 } // namespace
 
-TEST_CASE("regions whose links have room keep their callers")
+TEST_CASE("regions whose links have spare capacity keep their callers")
 {
     Regions regions(0.24, 0.0);
-    regions.pass(60s);
+    regions.advance(60s);
     CHECK(regions.shares.redirectedFrom("a").fraction == 0);
     CHECK(regions.shares.redirectedFrom("b").fraction == 0);
 }
 
-TEST_CASE("regions that are alike keep their callers, however full they are")
+TEST_CASE("regions with similar link use keep their callers, however high the use is")
 {
     Regions regions(1.5, 1.45);
-    regions.pass(60s);
+    regions.advance(60s);
     CHECK(regions.shares.redirectedFrom("a").fraction == 0);
     CHECK(regions.shares.redirectedFrom("b").fraction == 0);
 }
 
-TEST_CASE("a crowded region sends a part of its callers to an empty one, slowly, until both are alike")
+TEST_CASE("a loaded region slowly redirects a fraction of its callers to an idle one until both have similar link use")
 {
     Regions regions(1.0, 0.2);
-    regions.pass(2s);
+    regions.advance(2s);
     CHECK(regions.shares.redirectedFrom("a").region == "b");
     CHECK(regions.shares.redirectedFrom("a").fraction > 0);
     CHECK(regions.shares.redirectedFrom("a").fraction < 0.08);
-    regions.pass(60s);
+    regions.advance(60s);
     const auto loads = regions.loads();
     CHECK(std::abs(loads.at("a").linkUse - loads.at("b").linkUse) < 0.15);
     CHECK(regions.shares.redirectedFrom("b").fraction == 0);
-    // Nothing swings once it has settled.
+    // The share does not oscillate once it has settled.
     const double settled = regions.shares.redirectedFrom("a").fraction;
-    regions.pass(10s);
+    regions.advance(10s);
     CHECK(std::abs(regions.shares.redirectedFrom("a").fraction - settled) < 0.02);
 }
 
-TEST_CASE("callers come back when the crowd has gone, and no more than a part ever leaves")
+TEST_CASE("callers return after a burst, and never more than a fraction is redirected")
 {
     Regions regions(3.0, 0.0);
-    regions.pass(120s);
+    regions.advance(120s);
     CHECK(regions.shares.redirectedFrom("a").fraction <= 0.4);
-    regions.ask(0.1, 0.1);
-    regions.pass(60s);
+    regions.setDemand(0.1, 0.1);
+    regions.advance(60s);
     CHECK(regions.shares.redirectedFrom("a").fraction == 0);
 }
 
-TEST_CASE("a region without hosts takes no guests")
+TEST_CASE("a region without hosts receives no redirected callers")
 {
     Regions regions(2.0, 0.1);
-    regions.pass(20s);
+    regions.advance(20s);
     REQUIRE(regions.shares.redirectedFrom("a").region == "b");
     for (int n = 0; n < 10; ++n) {
         regions.now += Step;
@@ -110,10 +110,10 @@
     CHECK(regions.shares.redirectedFrom("b").fraction == 0);
 }
 
-TEST_CASE("a long pause is not made up for at once")
+TEST_CASE("a long pause does not cause one large step")
 {
     Regions regions(2.0, 0.1);
-    regions.pass(1s);
+    regions.advance(1s);
     const double before = regions.shares.redirectedFrom("a").fraction;
     regions.now += 60s;
     regions.shares.update(regions.loads(), regions.now);
--- a/unittests/Registry/RegistryTest.cpp
+++ b/unittests/Registry/RegistryTest.cpp
@@ -18,9 +18,9 @@
     return {id, "s", "10.0.0.1:80", "z1", 4, presence, 0ms, sequence};
 }
 
-/// Of the incarnation that started at a time.
-TargetReport lifeReport(const std::string &id, Milliseconds startedAt, std::uint64_t sequence,
-                        Presence presence = Presence::Ready)
+/// Report of the incarnation that started at a time.
+TargetReport incarnationReport(const std::string &id, Milliseconds startedAt, std::uint64_t sequence,
+                               Presence presence = Presence::Ready)
 {
     TargetReport it = report(id, sequence, presence);
     it.startedAt = startedAt;
@@ -48,7 +48,7 @@
     CHECK(presenceOf(registry, "a") == Presence::Draining);
 }
 
-TEST_CASE("an end is final, whatever number it came with")
+TEST_CASE("an end is final, whatever its sequence number")
 {
     Registry registry;
     registry.receive(report("a", 9), Start);
@@ -57,7 +57,7 @@
     CHECK(presenceOf(registry, "a") == Presence::Gone);
 }
 
-TEST_CASE("an address that another incarnation reports is no longer the old one's")
+TEST_CASE("an address that another incarnation reports no longer belongs to the previous one")
 {
     Registry registry;
     registry.receive(report("a", 1), Start);
@@ -66,27 +66,27 @@
     CHECK(isInUse(registry, "b"));
 }
 
-TEST_CASE("a late report of an incarnation that has ended does not end the one that has its address now")
+TEST_CASE("a late report of an ended incarnation does not silence the one that has its address now")
 {
-    // The first one was heard behind a cut alone, so this host knows nothing of it.
+    // The first one was known only beyond a network partition, so not to this host.
     Registry registry;
     registry.receive(report("second", 1), Start);
-    registry.receive(report("first", 9), Start + 1s); // late by the time of the cut
+    registry.receive(report("first", 9), Start + 1s); // delayed until the partition ended
     registry.receive(report("second", 2), Start + 1500ms);
     CHECK(isInUse(registry, "second"));
     CHECK_FALSE(isInUse(registry, "first"));
 }
 
-TEST_CASE("whoever goes on reporting has its address, at each control host, in whatever order they hear of it")
+TEST_CASE("an incarnation that keeps reporting has its address at each control host, in any order of reports")
 {
-    const bool holds = rc::check("lives, late reports, merges and restarts", [] {
+    const bool holds = rc::check("incarnations, late reports, merges and restarts", [] {
         constexpr int Hosts = 3;
         std::array<Registry, Hosts> registries;
-        const int lives = *rc::gen::inRange(2, 5);
-        const auto idOf = [](int life) {
-            return "life-" + std::to_string(life);
+        const int incarnations = *rc::gen::inRange(2, 5);
+        const auto idOf = [](int incarnation) {
+            return "life-" + std::to_string(incarnation);
         };
-        std::vector<std::uint64_t> sequences(static_cast<std::size_t>(lives));
+        std::vector<std::uint64_t> sequences(static_cast<std::size_t>(incarnations));
         TimePoint now = Start;
         const auto exchange = [&] {
             const int to = *rc::gen::inRange(0, Hosts);
@@ -95,12 +95,12 @@
                 registries.at(to).merge(registries.at(from).receivedSince(0, now), now);
             }
         };
-        for (int life = 0; life < lives; ++life) {
+        for (int incarnation = 0; incarnation < incarnations; ++incarnation) {
             const int steps = *rc::gen::inRange(1, 6);
             for (int step = 0; step < steps; ++step) {
                 now += Milliseconds(*rc::gen::inRange(1, 1500));
-                // Reports of a life that is over may still come, at hosts that know nothing of it.
-                const int author = *rc::gen::inRange(0, life + 1);
+                // Reports of an ended incarnation may still arrive, at hosts that do not know that it ended.
+                const int author = *rc::gen::inRange(0, incarnation + 1);
                 const auto host = static_cast<std::size_t>(*rc::gen::inRange(0, Hosts));
                 registries.at(host).receive(report(idOf(author), ++sequences.at(author)), now);
                 exchange();
@@ -109,17 +109,17 @@
                 }
             }
         }
-        // From now on only the last life reports; once each host has heard of it, each has it in use.
+        // From now on only the last incarnation reports; once each host has received its report, each uses it.
         now += 1500ms;
-        const std::string last = idOf(lives - 1);
+        const std::string last = idOf(incarnations - 1);
         registries.front().receive(report(last, ++sequences.back()), now);
         for (std::size_t n = 1; n < registries.size(); ++n) {
             registries.at(n).merge(registries.front().receivedSince(0, now), now);
         }
         for (const Registry &it : registries) {
             RC_ASSERT(isInUse(it, last));
-            for (int life = 0; life + 1 < lives; ++life) {
-                RC_ASSERT(!isInUse(it, idOf(life)));
+            for (int incarnation = 0; incarnation + 1 < incarnations; ++incarnation) {
+                RC_ASSERT(!isInUse(it, idOf(incarnation)));
             }
         }
     });
@@ -132,18 +132,18 @@
     Registry far;
     near.receive(report("second", 1), Start);
     far.merge(near.receivedSince(0, Start), Start);
-    const std::uint64_t told = near.version();
+    const std::uint64_t sentVersion = near.version();
     far.receive(report("first", 9), Start + 1s);
     REQUIRE_FALSE(isInUse(far, "second"));
     near.receive(report("second", 2), Start + 1500ms);
-    const RegistryChanges changes = near.receivedSince(told, Start + 1500ms);
+    const RegistryChanges changes = near.receivedSince(sentVersion, Start + 1500ms);
     REQUIRE(changes.renewals.size() == 1);
     far.merge(changes, Start + 1500ms);
     CHECK(isInUse(far, "second"));
     CHECK_FALSE(isInUse(far, "first"));
 }
 
-TEST_CASE("what tenants ask for is summed over hosts, also over one that is not heard for a while")
+TEST_CASE("demand of tenants is summed over hosts, including one that has been silent for a while")
 {
     const auto hostReport = [](const std::string &id, const std::string &address, float perSecond) {
         HostReport it;
@@ -158,7 +158,7 @@
     registry.receive(hostReport("a#1", "10.0.0.1:80", 3), Start);
     registry.receive(hostReport("b#1", "10.0.0.2:80", 5), Start);
     CHECK(registry.tenantDemand(Start + 1s, 12s).at(7) == 8);
-    registry.receive(hostReport("b#2", "10.0.0.2:80", 1), Start + 2s); // started again: its life before has ended
+    registry.receive(hostReport("b#2", "10.0.0.2:80", 1), Start + 2s); // restarted: its previous incarnation has ended
     CHECK(registry.tenantDemand(Start + 2s, 12s).at(7) == 4);
     registry.expire(Start + 6s, true);
     CHECK(registry.tenantDemand(Start + 6s, 12s).at(7) == 4);
@@ -169,7 +169,7 @@
     CHECK(registry.tenantDemand(Start + 13s, 12s).empty());
 }
 
-TEST_CASE("silence is judged only by a host that may judge, and ends with the next report")
+TEST_CASE("a target becomes silent only at a host that may expire it, and until its next report")
 {
     Registry registry;
     registry.receive(report("a", 1), Start);
@@ -183,7 +183,7 @@
     CHECK(registry.changedSince(version, Start + 21s).targets.size() == 1);
 }
 
-TEST_CASE("refreshes are told to control hosts only")
+TEST_CASE("reports without a change are sent to control hosts only")
 {
     Registry registry;
     registry.receive(report("a", 1), Start);
@@ -211,7 +211,7 @@
     CHECK(other.target("a")->report.sequence == 11);
 }
 
-TEST_CASE("a renewal of what is not known, or known otherwise, is not taken: all has to be asked for")
+TEST_CASE("a renewal of an unknown or different report is rejected, so that everything is requested")
 {
     Registry author;
     author.receive(report("a", 1), Start);
@@ -223,8 +223,8 @@
     CHECK_FALSE(empty.merge(renewal, Start));
     CHECK(empty.target("a") == nullptr);
 
-    // The drain, number 5, was heard by a second host; the author knows it from there and renews it as number 6. A
-    // third host, which the second has not reached yet, must not take 6 for a renewal of "ready" and 5 for a late
+    // The drain, sequence number 5, was received by a second host; the author has it from there and renews it as number
+    // 6. A third host, which the second has not reached yet, must not take 6 for a renewal of "ready" and 5 for a late
     // report.
     Registry second;
     second.receive(report("a", 5, Presence::Draining), Start);
@@ -238,7 +238,7 @@
     CHECK(presenceOf(third, "a") == Presence::Draining);
 }
 
-TEST_CASE("a renewal does not hide that a target became cold, nor lengthens its cold time")
+TEST_CASE("a renewal neither hides that a target became cold nor lengthens its cold time")
 {
     TargetReport cold = report("a", 1);
     cold.coldLeft = 3000ms;
@@ -259,7 +259,7 @@
     CHECK_FALSE(third.merge(renewal, Start + 1s));
 }
 
-TEST_CASE("a host's load is told with the next news and is none itself; a slow rise is told too")
+TEST_CASE("a host's load is sent with the next update and causes none; a slow rise is sent too")
 {
     HostReport host;
     host.id = "e1";
@@ -283,13 +283,13 @@
     CHECK(registry.demand(regions)[0].slots == Approx(20).epsilon(0.1));
 }
 
-TEST_CASE("hosts that exchange all they hear agree, in whatever order it was heard and told")
+TEST_CASE("hosts that exchange all reports agree, in whatever order they receive them")
 {
     CHECK(rc::check([] {
         std::array<Registry, 3> hosts;
-        std::array<std::array<std::uint64_t, 3>, 3> since{}; // [reader][told]
+        std::array<std::array<std::uint64_t, 3>, 3> since{}; // [recipient][sender]
         std::uint64_t sequence = 0;
-        const auto tell = [&](std::size_t from, std::size_t to) {
+        const auto send = [&](std::size_t from, std::size_t to) {
             const RegistryChanges changes = hosts[from].receivedSince(since[to][from], Start);
             since[to][from] = hosts[to].merge(changes, Start) ? hosts[from].version() : 0;
         };
@@ -297,17 +297,17 @@
         for (const int step : steps) {
             const auto host = static_cast<std::size_t>(step % 3);
             if (step >= 9) {
-                tell(host, (host + 1 + static_cast<std::size_t>(step % 2)) % 3);
+                send(host, (host + 1 + static_cast<std::size_t>(step % 2)) % 3);
                 continue;
             }
-            // The target drains at some time, and tells one host after the other.
+            // The target drains at some time, and reports to one host after the other.
             const Presence presence = sequence > 6 ? Presence::Draining : Presence::Ready;
             hosts[host].receive(report("a", ++sequence, presence), Start);
         }
         for (int round = 0; round < 3; ++round) {
             for (std::size_t from = 0; from < 3; ++from) {
-                tell(from, (from + 1) % 3);
-                tell(from, (from + 2) % 3);
+                send(from, (from + 1) % 3);
+                send(from, (from + 2) % 3);
             }
         }
         if (sequence == 0) {
@@ -320,7 +320,7 @@
     }));
 }
 
-TEST_CASE("what was passed on is not passed on again, but for a host that has nothing")
+TEST_CASE("a report from another host is not passed on again, except to a host that has nothing")
 {
     Registry author;
     author.receive(report("a", 1), Start);
@@ -332,21 +332,22 @@
     CHECK(other.receivedSince(0, Start).targets.size() == 2);
 }
 
-TEST_CASE("a departure that its target repeats is passed on by the host that hears it again")
+TEST_CASE("a departure that its target repeats is passed on by the host that receives it again")
 {
     Registry first;
     first.receive(report("a", 2, Presence::Draining), Start);
     Registry second;
     second.merge(first.receivedSince(0, Start), Start);
     const std::uint64_t before = second.version();
-    // The first host has ended before it told others; the target asks the second one for the promise.
+    // The first host has stopped before it passed the departure on; the target waits for the second one to acknowledge
+    // it.
     second.receive(report("a", 2, Presence::Draining), Start);
-    const RegistryChanges news = second.receivedSince(before, Start);
+    const RegistryChanges changes = second.receivedSince(before, Start);
     Registry third;
-    CHECK(third.merge(news, Start));
+    CHECK(third.merge(changes, Start));
     REQUIRE(third.target("a") != nullptr);
     CHECK(third.target("a")->report.presence == Presence::Draining);
-    // The same departure once more is no change, whoever else passes it on meanwhile.
+    // The same departure once more is no change, even if another host passes it on in between.
     const std::uint64_t changed = second.changedVersion();
     second.merge(first.receivedSince(0, Start), Start);
     second.receive(report("a", 3, Presence::Draining), Start);
@@ -354,7 +355,7 @@
     CHECK(second.changedVersion() == changed);
 }
 
-TEST_CASE("an age travels with a report")
+TEST_CASE("a report is passed on with its age")
 {
     Registry author;
     author.receive(report("a", 1), Start);
@@ -364,14 +365,14 @@
     CHECK(other.target("a")->isSilent);
 }
 
-TEST_CASE("tables that heard the same reports in any order agree")
+TEST_CASE("tables that received the same reports in any order agree")
 {
     CHECK(rc::check([] {
         const auto sequences = *rc::gen::container<std::vector<int>>(8, rc::gen::inRange(1, 5));
         Registry forwards;
         Registry backwards;
         for (std::size_t n = 0; n < sequences.size(); ++n) {
-            // One author never gives two different reports the same number.
+            // One author never gives two different reports the same sequence number.
             const auto of = [&](std::size_t k) {
                 const int sequence = sequences[k];
                 return report("a", static_cast<std::uint64_t>(sequence),
@@ -385,138 +386,138 @@
     }));
 }
 
-TEST_CASE("a target that starts again under its id is another incarnation, whose numbers begin anew")
+TEST_CASE("a target that restarts under its id is another incarnation, whose sequence numbers restart")
 {
     Registry registry;
-    registry.receive(lifeReport("a", 1000ms, 40), Start);
-    CHECK(registry.receive(lifeReport("a", 2000ms, 1), Start + 1s));
+    registry.receive(incarnationReport("a", 1000ms, 40), Start);
+    CHECK(registry.receive(incarnationReport("a", 2000ms, 1), Start + 1s));
     CHECK(registry.target("a")->report.startedAt == 2000ms);
     CHECK(registry.target("a")->report.sequence == 1);
-    // Reports of the life before that were held up on their way say nothing of the new one.
-    CHECK_FALSE(registry.receive(lifeReport("a", 1000ms, 41), Start + 1s));
-    CHECK_FALSE(registry.receive(lifeReport("a", 1000ms, 42, Presence::Draining), Start + 1s));
-    CHECK_FALSE(registry.receive(lifeReport("a", 1000ms, 43, Presence::Gone), Start + 1s));
+    // Late reports of the previous incarnation do not affect the new one.
+    CHECK_FALSE(registry.receive(incarnationReport("a", 1000ms, 41), Start + 1s));
+    CHECK_FALSE(registry.receive(incarnationReport("a", 1000ms, 42, Presence::Draining), Start + 1s));
+    CHECK_FALSE(registry.receive(incarnationReport("a", 1000ms, 43, Presence::Gone), Start + 1s));
     CHECK(presenceOf(registry, "a") == Presence::Ready);
 }
 
-TEST_CASE("a target that ended or drained comes back with its next life, and this is told to all")
+TEST_CASE("a target that ended or drained is ready again with its next incarnation, which is a change")
 {
     for (const Presence before : {Presence::Gone, Presence::Draining}) {
         Registry registry;
-        registry.receive(lifeReport("a", 1000ms, 9, before), Start);
+        registry.receive(incarnationReport("a", 1000ms, 9, before), Start);
         const std::uint64_t version = registry.version();
-        REQUIRE(registry.receive(lifeReport("a", 2000ms, 1), Start + 1s));
+        REQUIRE(registry.receive(incarnationReport("a", 2000ms, 1), Start + 1s));
         CHECK(presenceOf(registry, "a") == Presence::Ready);
         CHECK(registry.changedSince(version, Start + 1s).targets.size() == 1);
     }
 }
 
-TEST_CASE("a new life that says the same as the one before is a change all the same")
+TEST_CASE("a new incarnation with the same report as the previous one is a change")
 {
     Registry registry;
-    registry.receive(lifeReport("a", 1000ms, 9), Start);
+    registry.receive(incarnationReport("a", 1000ms, 9), Start);
     const std::uint64_t version = registry.version();
-    registry.receive(lifeReport("a", 2000ms, 10), Start + 1s);
+    registry.receive(incarnationReport("a", 2000ms, 10), Start + 1s);
     CHECK(registry.changedSince(version, Start + 1s).targets.size() == 1);
     CHECK(registry.receivedSince(version, Start + 1s).renewals.empty());
 }
 
-TEST_CASE("a renewal speaks of one life alone")
+TEST_CASE("a renewal is of one incarnation alone")
 {
     Registry author;
-    author.receive(lifeReport("a", 1000ms, 8), Start);
+    author.receive(incarnationReport("a", 1000ms, 8), Start);
     const std::uint64_t version = author.version();
-    author.receive(lifeReport("a", 1000ms, 9), Start);
+    author.receive(incarnationReport("a", 1000ms, 9), Start);
     const RegistryChanges older = author.receivedSince(version, Start);
     REQUIRE(older.renewals.size() == 1);
-    // A host that knows the next life has nothing to ask for, and keeps it.
+    // A host that knows the next incarnation has nothing to request, and keeps it.
     Registry newer;
-    newer.receive(lifeReport("a", 2000ms, 1), Start);
+    newer.receive(incarnationReport("a", 2000ms, 1), Start);
     CHECK(newer.merge(older, Start));
     CHECK(newer.target("a")->report.startedAt == 2000ms);
-    // A host that only knows the life before has to ask for all.
+    // A host that knows only the previous incarnation has to request everything.
     Registry behind;
-    behind.receive(lifeReport("a", 500ms, 1), Start);
+    behind.receive(incarnationReport("a", 500ms, 1), Start);
     CHECK_FALSE(behind.merge(older, Start));
 }
 
-TEST_CASE("a late departure of the life before is not passed on as one of the new life")
+TEST_CASE("a late departure of the previous incarnation is not passed on as one of the new incarnation")
 {
     Registry first;
-    first.receive(lifeReport("a", 2000ms, 1), Start);
+    first.receive(incarnationReport("a", 2000ms, 1), Start);
     Registry second;
     second.merge(first.receivedSince(0, Start), Start);
     const std::uint64_t version = second.version();
-    second.receive(lifeReport("a", 1000ms, 7, Presence::Gone), Start);
+    second.receive(incarnationReport("a", 1000ms, 7, Presence::Gone), Start);
     CHECK(second.receivedSince(version, Start).empty());
     CHECK_FALSE(second.target("a")->isDirect);
 }
 
-TEST_CASE("a departure is of the life that says it, or of the known one if it does not say which")
+TEST_CASE("a departure is of the incarnation that it names, or of the known one if it names none")
 {
-    const TargetReport known = lifeReport("a", 1000ms, 7);
-    TargetReport said;
-    said.id = "a";
-    said.presence = Presence::Gone;
-    CHECK(departureOf(known, said).startedAt == 1000ms);
-    CHECK(departureOf(known, said).address == known.address);
-    CHECK(departureOf(known, said).sequence == 8);
-    said.startedAt = 900ms;
+    const TargetReport known = incarnationReport("a", 1000ms, 7);
+    TargetReport reported;
+    reported.id = "a";
+    reported.presence = Presence::Gone;
+    CHECK(departureOf(known, reported).startedAt == 1000ms);
+    CHECK(departureOf(known, reported).address == known.address);
+    CHECK(departureOf(known, reported).sequence == 8);
+    reported.startedAt = 900ms;
     Registry registry;
     registry.receive(known, Start);
-    CHECK_FALSE(registry.receive(departureOf(known, said), Start));
-    said.startedAt = 2000ms;
-    CHECK(registry.receive(departureOf(known, said), Start));
+    CHECK_FALSE(registry.receive(departureOf(known, reported), Start));
+    reported.startedAt = 2000ms;
+    CHECK(registry.receive(departureOf(known, reported), Start));
     CHECK(presenceOf(registry, "a") == Presence::Gone);
-    CHECK_FALSE(registry.receive(lifeReport("a", 1000ms, 9), Start));
+    CHECK_FALSE(registry.receive(incarnationReport("a", 1000ms, 9), Start));
 }
 
-TEST_CASE("hosts that exchange all they hear agree on the newest life, whatever was late, lost or cut")
+TEST_CASE("hosts that exchange all reports agree on the latest incarnation, whatever was late, lost or partitioned")
 {
     CHECK(rc::check([] {
         constexpr std::size_t Hosts = 3;
         std::array<Registry, Hosts> hosts;
-        std::array<std::array<std::uint64_t, Hosts>, Hosts> since{}; // [reader][told]
-        const auto tell = [&](std::size_t from, std::size_t to) {
+        std::array<std::array<std::uint64_t, Hosts>, Hosts> since{}; // [recipient][sender]
+        const auto send = [&](std::size_t from, std::size_t to) {
             const RegistryChanges changes = hosts[from].receivedSince(since[to][from], Start);
             since[to][from] = hosts[to].merge(changes, Start) ? hosts[from].version() : 0;
         };
-        // What the target ever said, so that any of it may come late to any host.
-        std::vector<TargetReport> said;
-        Milliseconds life{1000};
+        // All reports of the target, any of which may arrive late at any host.
+        std::vector<TargetReport> reported;
+        Milliseconds incarnation{1000};
         std::uint64_t sequence = 0;
-        const auto says = [&](Presence presence) {
-            said.push_back(lifeReport("a", life, ++sequence, presence));
-            return said.back();
+        const auto makeReport = [&](Presence presence) {
+            reported.push_back(incarnationReport("a", incarnation, ++sequence, presence));
+            return reported.back();
         };
         const auto steps = *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 100));
         for (const int step : steps) {
             const auto host = static_cast<std::size_t>(step) % Hosts;
             if (step < 40) {
-                hosts[host].receive(says(Presence::Ready), Start);
+                hosts[host].receive(makeReport(Presence::Ready), Start);
             } else if (step < 50) {
-                hosts[host].receive(says(Presence::Draining), Start);
+                hosts[host].receive(makeReport(Presence::Draining), Start);
             } else if (step < 60) {
-                life += 1000ms;
+                incarnation += 1000ms;
                 sequence = 0;
-                hosts[host].receive(says(Presence::Ready), Start);
-            } else if (step < 75 && !said.empty()) {
-                hosts[host].receive(said[static_cast<std::size_t>(step) % said.size()], Start);
+                hosts[host].receive(makeReport(Presence::Ready), Start);
+            } else if (step < 75 && !reported.empty()) {
+                hosts[host].receive(reported[static_cast<std::size_t>(step) % reported.size()], Start);
             } else {
-                tell(host, (host + 1) % Hosts);
+                send(host, (host + 1) % Hosts);
             }
         }
-        life += 1000ms;
+        incarnation += 1000ms;
         sequence = 0;
-        hosts[0].receive(says(Presence::Ready), Start);
+        hosts[0].receive(makeReport(Presence::Ready), Start);
         for (std::size_t round = 0; round < Hosts; ++round) {
             for (std::size_t from = 0; from < Hosts; ++from) {
-                tell(from, (from + 1) % Hosts);
-                tell(from, (from + 2) % Hosts);
+                send(from, (from + 1) % Hosts);
+                send(from, (from + 2) % Hosts);
             }
         }
         for (const Registry &it : hosts) {
-            RC_ASSERT(it.target("a")->report.startedAt == life);
+            RC_ASSERT(it.target("a")->report.startedAt == incarnation);
             RC_ASSERT(presenceOf(it, "a") == Presence::Ready);
         }
     }));
--- a/unittests/Registry/UpdateConfirmationsTest.cpp
+++ b/unittests/Registry/UpdateConfirmationsTest.cpp
@@ -1,7 +1,8 @@
-//===- UpdateConfirmationsTest.cpp - Who has confirmed what news ------------===//
+//===- UpdateConfirmationsTest.cpp - Confirmations of updates -------------===//
 //
-// First the rules one by one, then a small model of control hosts and entry
-// hosts in which whatever can go wrong does.
+// Tests of the single rules, then random series of steps in a small model of
+// control hosts and entry hosts with lost, late and reordered messages, restarts
+// and hosts that move.
 //
 //===----------------------------------------------------------------------===//
 #include "pepperlug/Registry.h"
@@ -26,107 +27,107 @@
 
 } // namespace
 
-TEST_CASE("a follower is missing until it has both the reports and the routing that are asked for")
+TEST_CASE("a follower is unconfirmed until it has applied both the registry version and the routing index")
 {
     struct Case {
         const char *what;
-        UpdateVersions has;
+        UpdateVersions applied;
         UpdateVersions wanted;
         bool isMissing;
     };
     const std::vector<Case> cases{
         {"just reached", {5, 7}, {5, 7}, false},          {"beyond", {9, 9}, {5, 7}, false},
-        {"behind in reports", {4, 7}, {5, 7}, true},      {"behind in routing", {5, 6}, {5, 7}, true},
-        {"routing not asked for", {5, 0}, {5, 0}, false}, {"reports not asked for", {0, 7}, {0, 7}, false},
-        {"nothing asked for", {0, 0}, {0, 0}, false},
+        {"behind in the registry", {4, 7}, {5, 7}, true}, {"behind in routing", {5, 6}, {5, 7}, true},
+        {"no routing wanted", {5, 0}, {5, 0}, false},     {"no registry version wanted", {0, 7}, {0, 7}, false},
+        {"nothing wanted", {0, 0}, {0, 0}, false},
     };
     for (const Case &it : cases) {
         INFO(it.what);
-        UpdateConfirmations news(Lease);
-        news.recordPoll("e1", it.has, Start);
-        CHECK(news.unconfirmedHosts(it.wanted, {}, Start) == (it.isMissing ? Names{"e1"} : Names{}));
-        UpdateConfirmations ofPeer(Lease);
-        ofPeer.recordPeerConfirmation("c2", it.has);
-        CHECK(ofPeer.unconfirmedHosts(it.wanted, {"c2"}, Start) == (it.isMissing ? Names{"c2"} : Names{}));
+        UpdateConfirmations confirmations(Lease);
+        confirmations.recordPoll("e1", it.applied, Start);
+        CHECK(confirmations.unconfirmedHosts(it.wanted, {}, Start) == (it.isMissing ? Names{"e1"} : Names{}));
+        UpdateConfirmations peerConfirmations(Lease);
+        peerConfirmations.recordPeerConfirmation("c2", it.applied);
+        CHECK(peerConfirmations.unconfirmedHosts(it.wanted, {"c2"}, Start) == (it.isMissing ? Names{"c2"} : Names{}));
     }
 }
 
-TEST_CASE("a follower is waited for until a lease after its last ask, and again as soon as it asks again")
+TEST_CASE("a follower is waited for until a lease after its last poll, and again as soon as it polls again")
 {
-    UpdateConfirmations news(Lease);
+    UpdateConfirmations confirmations(Lease);
     const UpdateVersions wanted{5, 0};
-    news.recordPoll("e1", {4, 0}, Start);
-    news.recordPoll("e2", {4, 0}, Start + 600ms);
-    CHECK(news.unconfirmedHosts(wanted, {}, Start + Lease) == Names{"e1", "e2"});
-    CHECK(news.unconfirmedHosts(wanted, {}, Start + Lease + 1ms) == Names{"e2"});
-    CHECK(news.unconfirmedHosts(wanted, {}, Start + 600ms + Lease + 1ms).empty());
-    news.recordPoll("e1", {4, 0}, Start + 5s);
-    CHECK(news.unconfirmedHosts(wanted, {}, Start + 5s) == Names{"e1"});
-    news.recordPoll("e1", {5, 0}, Start + 5s);
-    CHECK(news.unconfirmedHosts(wanted, {}, Start + 5s).empty());
+    confirmations.recordPoll("e1", {4, 0}, Start);
+    confirmations.recordPoll("e2", {4, 0}, Start + 600ms);
+    CHECK(confirmations.unconfirmedHosts(wanted, {}, Start + Lease) == Names{"e1", "e2"});
+    CHECK(confirmations.unconfirmedHosts(wanted, {}, Start + Lease + 1ms) == Names{"e2"});
+    CHECK(confirmations.unconfirmedHosts(wanted, {}, Start + 600ms + Lease + 1ms).empty());
+    confirmations.recordPoll("e1", {4, 0}, Start + 5s);
+    CHECK(confirmations.unconfirmedHosts(wanted, {}, Start + 5s) == Names{"e1"});
+    confirmations.recordPoll("e1", {5, 0}, Start + 5s);
+    CHECK(confirmations.unconfirmedHosts(wanted, {}, Start + 5s).empty());
 }
 
-TEST_CASE("the newest ask of a follower counts, also where it goes back")
+TEST_CASE("the latest poll of a follower counts, also where its versions decrease")
 {
-    UpdateConfirmations news(Lease);
-    news.recordPoll("e1", {9, 9}, Start);
-    news.recordPoll("e1", {0, 3}, Start + 1ms);
-    CHECK(news.unconfirmedHosts({9, 0}, {}, Start + 1ms) == Names{"e1"});
-    CHECK(news.unconfirmedHosts({0, 9}, {}, Start + 1ms) == Names{"e1"});
-    CHECK(news.unconfirmedHosts({0, 3}, {}, Start + 1ms).empty());
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordPoll("e1", {9, 9}, Start);
+    confirmations.recordPoll("e1", {0, 3}, Start + 1ms);
+    CHECK(confirmations.unconfirmedHosts({9, 0}, {}, Start + 1ms) == Names{"e1"});
+    CHECK(confirmations.unconfirmedHosts({0, 9}, {}, Start + 1ms) == Names{"e1"});
+    CHECK(confirmations.unconfirmedHosts({0, 3}, {}, Start + 1ms).empty());
 }
 
-TEST_CASE("a follower that has left is not waited for")
+TEST_CASE("a follower that was removed is not waited for")
 {
-    UpdateConfirmations news(Lease);
-    news.recordMerge("c2", "x", 30, 5);
-    news.recordPoll("e1", {4, 1}, Start);
-    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
-    news.removeFollower("e1");
-    CHECK(news.unconfirmedHosts({5, 2}, {}, Start).empty());
-    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
-    news.removeFollower("e1"); // it may be told twice
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordMerge("c2", "x", 30, 5);
+    confirmations.recordPoll("e1", {4, 1}, Start);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{0, 1});
+    confirmations.removeFollower("e1");
+    CHECK(confirmations.unconfirmedHosts({5, 2}, {}, Start).empty());
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
+    confirmations.removeFollower("e1"); // an end may be reported twice
 }
 
-TEST_CASE("control hosts that live are waited for until they confirm; the newest confirmation counts")
+TEST_CASE("live control hosts are waited for until they confirm; the latest confirmation counts")
 {
-    UpdateConfirmations news(Lease);
+    UpdateConfirmations confirmations(Lease);
     const UpdateVersions wanted{5, 0};
-    CHECK(news.unconfirmedHosts(wanted, {"c2", "c3"}, Start) == Names{"c2", "c3"});
-    news.recordPeerConfirmation("c2", {5, 0});
-    CHECK(news.unconfirmedHosts(wanted, {"c2", "c3"}, Start) == Names{"c3"});
-    CHECK(news.unconfirmedHosts(wanted, {"c2"}, Start).empty());
-    // An entry host that knows less has come to it, or it has been started anew.
-    news.recordPeerConfirmation("c2", {4, 0});
-    CHECK(news.unconfirmedHosts(wanted, {"c2"}, Start) == Names{"c2"});
+    CHECK(confirmations.unconfirmedHosts(wanted, {"c2", "c3"}, Start) == Names{"c2", "c3"});
+    confirmations.recordPeerConfirmation("c2", {5, 0});
+    CHECK(confirmations.unconfirmedHosts(wanted, {"c2", "c3"}, Start) == Names{"c3"});
+    CHECK(confirmations.unconfirmedHosts(wanted, {"c2"}, Start).empty());
+    // An entry host with older versions has begun to follow it, or it has restarted.
+    confirmations.recordPeerConfirmation("c2", {4, 0});
+    CHECK(confirmations.unconfirmedHosts(wanted, {"c2"}, Start) == Names{"c2"});
 }
 
-TEST_CASE("followers are named before control hosts, those that live only")
+TEST_CASE("followers are listed before control hosts, and only live control hosts are listed")
 {
-    UpdateConfirmations news(Lease);
-    news.recordPoll("e2", {1, 0}, Start);
-    news.recordPoll("e1", {1, 0}, Start);
-    news.recordPeerConfirmation("c9", {1, 0});
-    CHECK(news.unconfirmedHosts({5, 0}, {"c3", "c2"}, Start) == Names{"e1", "e2", "c3", "c2"});
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordPoll("e2", {1, 0}, Start);
+    confirmations.recordPoll("e1", {1, 0}, Start);
+    confirmations.recordPeerConfirmation("c9", {1, 0});
+    CHECK(confirmations.unconfirmedHosts({5, 0}, {"c3", "c2"}, Start) == Names{"e1", "e2", "c3", "c2"});
 }
 
-TEST_CASE("a control host confirms what all its followers have come to, and all of it if it has none")
+TEST_CASE("a control host confirms what all its followers have applied, and everything if it has none")
 {
-    UpdateConfirmations news(Lease);
-    CHECK(news.versionsConfirmedTo("c2", "x", 4, Start) == UpdateVersions{0, 4});
-    news.recordMerge("c2", "x", 30, 5);
-    CHECK(news.versionsConfirmedTo("c2", "x", 4, Start) == UpdateVersions{30, 4});
-    news.recordPoll("e1", {5, 4}, Start);
-    news.recordPoll("e2", {7, 4}, Start);
-    news.recordMerge("c2", "x", 40, 8);
-    news.recordMerge("c2", "x", 50, 10);
-    news.recordMerge("c2", "x", 60, 12);
+    UpdateConfirmations confirmations(Lease);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 4, Start) == UpdateVersions{0, 4});
+    confirmations.recordMerge("c2", "x", 30, 5);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 4, Start) == UpdateVersions{30, 4});
+    confirmations.recordPoll("e1", {5, 4}, Start);
+    confirmations.recordPoll("e2", {7, 4}, Start);
+    confirmations.recordMerge("c2", "x", 40, 8);
+    confirmations.recordMerge("c2", "x", 50, 10);
+    confirmations.recordMerge("c2", "x", 60, 12);
     struct Case {
         UpdateVersions e1;
         UpdateVersions e2;
-        UpdateVersions confirmed; ///< with 9 as the routing that is applied here
+        UpdateVersions confirmed; ///< with 9 as the routing index that is applied here
     };
-    // Each line goes on from the one before.
+    // Each row continues from the state of the one before.
     const std::vector<Case> cases{
         {{5, 4}, {7, 4}, {30, 4}},     {{7, 4}, {9, 9}, {30, 4}},     {{8, 6}, {9, 9}, {40, 6}},
         {{11, 9}, {9, 9}, {40, 9}},    {{11, 11}, {11, 10}, {50, 9}}, {{12, 11}, {11, 10}, {50, 9}},
@@ -134,130 +135,131 @@
     };
     for (const Case &it : cases) {
         INFO(it.e1.registryVersion << " and " << it.e2.registryVersion);
-        news.recordPoll("e1", it.e1, Start);
-        news.recordPoll("e2", it.e2, Start);
-        CHECK(news.versionsConfirmedTo("c2", "x", 9, Start) == it.confirmed);
+        confirmations.recordPoll("e1", it.e1, Start);
+        confirmations.recordPoll("e2", it.e2, Start);
+        CHECK(confirmations.versionsConfirmedTo("c2", "x", 9, Start) == it.confirmed);
     }
 }
 
-TEST_CASE("followers whose lease is over hold no confirmation back; one that is new with nothing does")
+TEST_CASE("followers whose lease is over delay no confirmation; a new one without updates does")
 {
-    UpdateConfirmations news(Lease);
-    news.recordMerge("c2", "x", 30, 5);
-    news.recordPoll("e1", {4, 1}, Start);
-    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start + Lease) == UpdateVersions{0, 1});
-    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start + Lease + 1ms) == UpdateVersions{30, 2});
-    news.recordPoll("e2", {0, 0}, Start + 2s);
-    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{0, 0});
-    news.recordPoll("e2", {5, 2}, Start + 2s);
-    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{30, 2});
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordMerge("c2", "x", 30, 5);
+    confirmations.recordPoll("e1", {4, 1}, Start);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 2, Start + Lease) == UpdateVersions{0, 1});
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 2, Start + Lease + 1ms) == UpdateVersions{30, 2});
+    confirmations.recordPoll("e2", {0, 0}, Start + 2s);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{0, 0});
+    confirmations.recordPoll("e2", {5, 2}, Start + 2s);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 2, Start + 2s) == UpdateVersions{30, 2});
 }
 
-TEST_CASE("reports are confirmed to the life of a control host that told them; routing means the same in each")
+TEST_CASE("registry versions are confirmed to one incarnation of a control host; a routing index is the same in each")
 {
-    UpdateConfirmations news(Lease);
-    news.recordMerge("c2", "x", 30, 5);
-    news.recordMerge("c3", "v", 70, 6);
-    CHECK(news.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
-    CHECK(news.versionsConfirmedTo("c9", "x", 3, Start) == UpdateVersions{0, 3});
-    news.recordMerge("c2", "y", 2, 9);
-    CHECK(news.versionsConfirmedTo("c2", "x", 3, Start) == UpdateVersions{0, 3});
-    CHECK(news.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{2, 3});
-    news.recordPoll("e1", {8, 3}, Start);
-    CHECK(news.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
-    CHECK(news.versionsConfirmedTo("c3", "v", 3, Start) == UpdateVersions{70, 3});
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordMerge("c2", "x", 30, 5);
+    confirmations.recordMerge("c3", "v", 70, 6);
+    CHECK(confirmations.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
+    CHECK(confirmations.versionsConfirmedTo("c9", "x", 3, Start) == UpdateVersions{0, 3});
+    confirmations.recordMerge("c2", "y", 2, 9);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 3, Start) == UpdateVersions{0, 3});
+    CHECK(confirmations.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{2, 3});
+    confirmations.recordPoll("e1", {8, 3}, Start);
+    CHECK(confirmations.versionsConfirmedTo("c2", "y", 3, Start) == UpdateVersions{0, 3});
+    CHECK(confirmations.versionsConfirmedTo("c3", "v", 3, Start) == UpdateVersions{70, 3});
 }
 
-TEST_CASE("news that change nothing here are confirmed by whoever had come so far")
+TEST_CASE("updates that change nothing here are confirmed by followers that had the version before")
 {
-    UpdateConfirmations news(Lease);
-    news.recordPoll("e1", {5, 0}, Start);
-    news.recordMerge("c2", "x", 30, 5);
-    news.recordMerge("c2", "x", 31, 5);
-    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
-    // What was told before is not asked of followers again.
-    news.recordMerge("c2", "x", 31, 9);
-    news.recordMerge("c2", "x", 30, 9);
-    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
-    news.recordPoll("e1", {9, 0}, Start);
-    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordPoll("e1", {5, 0}, Start);
+    confirmations.recordMerge("c2", "x", 30, 5);
+    confirmations.recordMerge("c2", "x", 31, 5);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
+    // Followers need not confirm again what was merged before.
+    confirmations.recordMerge("c2", "x", 31, 9);
+    confirmations.recordMerge("c2", "x", 30, 9);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
+    confirmations.recordPoll("e1", {9, 0}, Start);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 31);
 }
 
-TEST_CASE("pairs that all followers have reached collapse into the newest such pair")
+TEST_CASE("of the pairs that all followers have reached only the latest is kept")
 {
-    UpdateConfirmations news(Lease);
-    news.recordPoll("e1", {0, 0}, Start);
-    news.recordMerge("c2", "x", 30, 5);
-    news.recordMerge("c2", "x", 40, 8);
-    news.recordMerge("c2", "x", 50, 10);
-    news.recordPoll("e1", {9, 0}, Start);
-    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 40);
-    // The pair at 5 is no longer kept: a follower that goes back below 8 has to catch up first.
-    news.recordPoll("e1", {6, 0}, Start);
-    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 0);
-    news.recordPoll("e1", {10, 0}, Start);
-    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 50);
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordPoll("e1", {0, 0}, Start);
+    confirmations.recordMerge("c2", "x", 30, 5);
+    confirmations.recordMerge("c2", "x", 40, 8);
+    confirmations.recordMerge("c2", "x", 50, 10);
+    confirmations.recordPoll("e1", {9, 0}, Start);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 40);
+    // The pair at 5 is no longer kept: a follower that falls back below 8 has to catch up first.
+    confirmations.recordPoll("e1", {6, 0}, Start);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 0);
+    confirmations.recordPoll("e1", {10, 0}, Start);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == 50);
 }
 
-TEST_CASE("a follower that stays behind for very long makes nothing confirmed that it has not got, and may catch up")
+TEST_CASE("while a follower stays far behind nothing that it lacks is confirmed, and it may catch up")
 {
-    UpdateConfirmations news(Lease);
-    news.recordPoll("e1", {1, 0}, Start);
-    // For each n, own version 10 n goes with version n of the other host.
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordPoll("e1", {1, 0}, Start);
+    // For each n, own version 10 n is paired with version n of the other host.
     constexpr std::uint64_t Many = 100000;
     for (std::uint64_t n = 1; n <= Many; ++n) {
-        news.recordMerge("c2", "x", n, 10 * n);
+        confirmations.recordMerge("c2", "x", n, 10 * n);
     }
-    for (const std::uint64_t has : {9UL, 10UL, 19UL, 25UL, 999UL, 500000UL, 999999UL}) {
-        news.recordPoll("e1", {has, 0}, Start);
-        CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion <= has / 10);
+    for (const std::uint64_t applied : {9UL, 10UL, 19UL, 25UL, 999UL, 500000UL, 999999UL}) {
+        confirmations.recordPoll("e1", {applied, 0}, Start);
+        CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion <= applied / 10);
     }
-    news.recordPoll("e1", {10 * Many, 0}, Start);
-    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == Many);
+    confirmations.recordPoll("e1", {10 * Many, 0}, Start);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == Many);
 }
 
-TEST_CASE("a follower that is always some replies behind is confirmed for step by step, however long this goes on")
+TEST_CASE("with a follower that is always some replies behind, confirmed versions still increase step by step")
 {
-    UpdateConfirmations news(Lease);
+    UpdateConfirmations confirmations(Lease);
     constexpr std::uint64_t Behind = 200;
     for (std::uint64_t n = 1; n <= 5000; ++n) {
-        news.recordMerge("c2", "x", n, 10 * n);
-        const std::uint64_t has = n > Behind ? n - Behind : 0;
-        news.recordPoll("e1", {10 * has, 0}, Start);
-        REQUIRE(news.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == has);
+        confirmations.recordMerge("c2", "x", n, 10 * n);
+        const std::uint64_t applied = n > Behind ? n - Behind : 0;
+        confirmations.recordPoll("e1", {10 * applied, 0}, Start);
+        REQUIRE(confirmations.versionsConfirmedTo("c2", "x", 0, Start).registryVersion == applied);
     }
 }
 
-TEST_CASE("forgetting drops who is not known any more, and changes nothing for followers in lease and known peers")
+TEST_CASE("removal of expired followers and unknown peers changes nothing for followers in lease and known peers")
 {
-    UpdateConfirmations news(Lease);
-    news.recordPoll("e1", {4, 0}, Start);
-    news.recordMerge("c2", "x", 30, 5);
-    news.recordMerge("c3", "v", 70, 5);
-    news.recordPeerConfirmation("c2", {9, 0});
-    news.recordPeerConfirmation("c3", {9, 0});
-    news.removeExpired({"c2"}, Start + Lease);
-    CHECK(news.unconfirmedHosts({5, 0}, {"c2", "c3"}, Start + Lease) == Names{"e1", "c3"});
-    news.removeExpired({"c2"}, Start + 10 * Lease);
-    CHECK(news.versionsConfirmedTo("c2", "x", 0, Start + 10 * Lease).registryVersion == 30);
-    CHECK(news.versionsConfirmedTo("c3", "v", 0, Start + 10 * Lease).registryVersion == 0);
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordPoll("e1", {4, 0}, Start);
+    confirmations.recordMerge("c2", "x", 30, 5);
+    confirmations.recordMerge("c3", "v", 70, 5);
+    confirmations.recordPeerConfirmation("c2", {9, 0});
+    confirmations.recordPeerConfirmation("c3", {9, 0});
+    confirmations.removeExpired({"c2"}, Start + Lease);
+    CHECK(confirmations.unconfirmedHosts({5, 0}, {"c2", "c3"}, Start + Lease) == Names{"e1", "c3"});
+    confirmations.removeExpired({"c2"}, Start + 10 * Lease);
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 0, Start + 10 * Lease).registryVersion == 30);
+    CHECK(confirmations.versionsConfirmedTo("c3", "v", 0, Start + 10 * Lease).registryVersion == 0);
     // Also for a caller whose time was read earlier.
-    CHECK(news.unconfirmedHosts({5, 0}, {}, Start).empty());
+    CHECK(confirmations.unconfirmedHosts({5, 0}, {}, Start).empty());
 }
 
-TEST_CASE("a host that moves is waited for where it left until its lease is over, and where it came from its first ask")
+TEST_CASE("a host that moves is waited for by the control host it left until its lease is over, by the other from its "
+          "first poll")
 {
-    // Two control hosts, a and b; the entry host follows a and then b, before a hears of a departure.
+    // Two control hosts, a and b; the entry host follows a and then b, before a receives a departure.
     UpdateConfirmations a(Lease);
     UpdateConfirmations b(Lease);
     a.recordPoll("e1", {4, 0}, Start);
     const UpdateVersions departure{5, 0};
     b.recordMerge("a", "x", 5, 2);
-    // b confirmed just before the host came to it. It is a that waits for the host.
+    // b confirmed just before the host began to follow it, so a waits for the host.
     a.recordPeerConfirmation("b", b.versionsConfirmedTo("a", "x", 0, Start + 10ms));
     b.recordPoll("e1", {0, 0}, Start + 20ms);
     CHECK(a.unconfirmedHosts(departure, {"b"}, Start + 20ms) == Names{"e1"});
-    // From then on b confirms with the host, and both wait for it.
+    // From then on the confirmations of b include the host, and both wait for it.
     a.recordPeerConfirmation("b", b.versionsConfirmedTo("a", "x", 0, Start + 30ms));
     CHECK(a.unconfirmedHosts(departure, {"b"}, Start + 30ms) == Names{"e1", "b"});
     CHECK(a.unconfirmedHosts(departure, {"b"}, Start + Lease + 1ms) == Names{"b"});
@@ -266,67 +268,68 @@
     CHECK(a.unconfirmedHosts(departure, {"b"}, Start + Lease + 1ms).empty());
 }
 
-TEST_CASE("a follower that has nothing is waited for by what its first reply told it")
+TEST_CASE("a follower without updates is waited for by the versions of its first reply")
 {
-    UpdateConfirmations news(Lease);
-    news.recordMerge("c2", "x", 30, 5);
-    news.recordPoll("e1", {0, 0}, Start);
-    CHECK(news.unconfirmedHosts({5, 2}, {}, Start) == Names{"e1"});
-    news.recordFirstReply("e1", {5, 2});
-    // While that reply is on its way the host acts upon nothing, and then upon it.
-    CHECK(news.unconfirmedHosts({5, 2}, {}, Start).empty());
-    CHECK(news.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
-    // What came to be later is not in that reply.
-    CHECK(news.unconfirmedHosts({6, 0}, {}, Start) == Names{"e1"});
-    CHECK(news.unconfirmedHosts({0, 3}, {}, Start) == Names{"e1"});
-    news.renewFollowerLease("e1", Start + Lease);
-    CHECK(news.unconfirmedHosts({6, 0}, {}, Start + Lease + 1ms) == Names{"e1"});
-    CHECK(news.unconfirmedHosts({5, 2}, {}, Start + Lease + 1ms).empty());
-    CHECK(news.unconfirmedHosts({6, 0}, {}, Start + 2 * Lease + 1ms).empty());
-    // It has the reports, and fetches the routing of which it was told, or newer one.
-    news.recordPoll("e1", {5, 0}, Start + 2 * Lease);
-    CHECK(news.unconfirmedHosts({5, 2}, {}, Start + 2 * Lease).empty());
-    CHECK(news.unconfirmedHosts({5, 3}, {}, Start + 2 * Lease) == Names{"e1"});
+    UpdateConfirmations confirmations(Lease);
+    confirmations.recordMerge("c2", "x", 30, 5);
+    confirmations.recordPoll("e1", {0, 0}, Start);
+    CHECK(confirmations.unconfirmedHosts({5, 2}, {}, Start) == Names{"e1"});
+    confirmations.recordFirstReply("e1", {5, 2});
+    // The host acts on nothing until that reply arrives, and then on the reply.
+    CHECK(confirmations.unconfirmedHosts({5, 2}, {}, Start).empty());
+    CHECK(confirmations.versionsConfirmedTo("c2", "x", 2, Start) == UpdateVersions{30, 2});
+    // Later updates are not in that reply.
+    CHECK(confirmations.unconfirmedHosts({6, 0}, {}, Start) == Names{"e1"});
+    CHECK(confirmations.unconfirmedHosts({0, 3}, {}, Start) == Names{"e1"});
+    confirmations.renewFollowerLease("e1", Start + Lease);
+    CHECK(confirmations.unconfirmedHosts({6, 0}, {}, Start + Lease + 1ms) == Names{"e1"});
+    CHECK(confirmations.unconfirmedHosts({5, 2}, {}, Start + Lease + 1ms).empty());
+    CHECK(confirmations.unconfirmedHosts({6, 0}, {}, Start + 2 * Lease + 1ms).empty());
+    // It has applied the reports and fetches the routing of the index that it was sent, or a newer one.
+    confirmations.recordPoll("e1", {5, 0}, Start + 2 * Lease);
+    CHECK(confirmations.unconfirmedHosts({5, 2}, {}, Start + 2 * Lease).empty());
+    CHECK(confirmations.unconfirmedHosts({5, 3}, {}, Start + 2 * Lease) == Names{"e1"});
 }
 
-TEST_CASE("a sign of life of a host that is not known, or what one is told that has something, confirms nothing")
+TEST_CASE("a renewed lease of an unknown host, or a reply to a host that has updates, confirms nothing")
 {
-    UpdateConfirmations news(Lease);
-    news.renewFollowerLease("e1", Start);
-    CHECK(news.unconfirmedHosts({1, 0}, {}, Start) == Names{"e1"});
-    news.recordPoll("e2", {3, 1}, Start);
-    news.recordFirstReply("e2", {9, 9});
-    CHECK(news.unconfirmedHosts({4, 0}, {}, Start) == Names{"e1", "e2"});
-    news.recordFirstReply("e3", {9, 9});
-    CHECK(news.unconfirmedHosts({9, 9}, {}, Start) == Names{"e1", "e2"});
+    UpdateConfirmations confirmations(Lease);
+    confirmations.renewFollowerLease("e1", Start);
+    CHECK(confirmations.unconfirmedHosts({1, 0}, {}, Start) == Names{"e1"});
+    confirmations.recordPoll("e2", {3, 1}, Start);
+    confirmations.recordFirstReply("e2", {9, 9});
+    CHECK(confirmations.unconfirmedHosts({4, 0}, {}, Start) == Names{"e1", "e2"});
+    confirmations.recordFirstReply("e3", {9, 9});
+    CHECK(confirmations.unconfirmedHosts({9, 9}, {}, Start) == Names{"e1", "e2"});
 }
 
 namespace
 {
 
-/// News that a control host is to acknowledge: a departure that it heard, or a change of the routing.
-struct News {
+/// An update that a control host has to acknowledge: a departure that it received, or a change of the routing.
+struct Update {
     std::size_t departure = 0; ///< counted from 1; 0 for a change of the routing
-    UpdateVersions position;
-    TimePoint arose{}; ///< when the position came to be
+    UpdateVersions versions;
+    TimePoint madeAt{}; ///< when the versions came into existence
     bool isAcknowledged = false;
 };
 
-/// What a departure's number is known as, and since which version of a registry.
+/// Departures that a control host knows, by number, with the registry version since which it knows them.
 using Departures = std::map<std::size_t, std::uint64_t>;
 
-struct ModelAsk {
+/// A request of a host to a control host.
+struct ModelPoll {
     std::size_t from = 0;
-    std::uint64_t fromLife = 0;
+    std::uint64_t fromIncarnation = 0;
     std::size_t to = 0;
     std::uint64_t number = 0;
-    std::uint64_t epoch = 0; ///< of the asked host, as known to the asker; 0 at first
-    UpdateVersions has; ///< since which version, and the routing
-    UpdateVersions confirmed; ///< by a control host
+    std::uint64_t epoch = 0; ///< of the polled host, as known to the polling host; 0 at first
+    UpdateVersions applied; ///< registry version from which changes are requested, and the routing index
+    UpdateVersions confirmed; ///< of a polling control host
 };
 
 struct ModelReply {
-    ModelAsk ask;
+    ModelPoll poll;
     std::uint64_t epoch = 0;
     std::uint64_t version = 0;
     std::uint64_t routing = 0;
@@ -334,58 +337,58 @@
     TimePoint madeAt{};
 };
 
-/// What an asker knows of a host that it follows.
+/// State that a polling host keeps of a host that it polls.
 struct ModelWatch {
     std::uint64_t epoch = 0;
     std::uint64_t since = 0;
-    std::uint64_t number = 0; ///< of the ask whose reply is taken
+    std::uint64_t number = 0; ///< of the poll whose reply is accepted
 };
 
 struct ModelControl {
     bool isUp = true;
-    std::uint64_t life = 1;
+    std::uint64_t incarnation = 1;
     TimePoint startedAt = Start - 10 * Lease;
     TimePoint endedAt{};
     UpdateConfirmations confirmations{Lease};
     std::uint64_t version = 1;
-    std::uint64_t routing = 1; ///< kept on the disk
-    Departures heard; ///< from targets
+    std::uint64_t routing = 1; ///< durable
+    Departures direct; ///< from targets
     Departures known; ///< from targets and other control hosts
-    std::vector<News> news;
+    std::vector<Update> updates;
     std::map<std::size_t, ModelWatch> watches; ///< of other control hosts
-    /// Life and number of the newest ask that was noted of each entry host.
-    std::map<std::size_t, std::pair<std::uint64_t, std::uint64_t>> newest;
+    /// Incarnation and number of the latest poll that was recorded of each entry host.
+    std::map<std::size_t, std::pair<std::uint64_t, std::uint64_t>> latestPolls;
 };
 
-/// One life of an entry host.
+/// One incarnation of an entry host.
 struct ModelEntry {
-    std::uint64_t life = 1;
+    std::uint64_t incarnation = 1;
     std::size_t follows = 0;
     ModelWatch watch;
     std::uint64_t routing = 0;
-    std::set<std::size_t> knows;
-    std::vector<std::pair<std::size_t, TimePoint>> heardBy; ///< control host that took an ask, and when
-    std::vector<News> owed; ///< what its first reply has to hold
+    std::set<std::size_t> knownDepartures;
+    std::vector<std::pair<std::size_t, TimePoint>> receivedPolls; ///< control host that received a poll, and when
+    std::vector<Update> promised; ///< updates that its first reply has to hold
 
     /// It has no routing, so it sends nothing to any target.
-    bool actsUponNothing() const
+    bool hasNoRouting() const
     {
         return routing == 0;
     }
 };
 
-/// Control hosts have the numbers below `controls`, entry hosts those from there on. Messages are delivered in any
-/// order, also an ask after a later one. What the model does beside the class is what its user has to do:
-///  - A host that follows another one's registry from the start, in a new life of either, asks with since 0.
+/// Control hosts and entry hosts that use UpdateConfirmations. Control hosts have the numbers below `controls`, entry
+/// hosts those from there on. Messages are delivered in any order, also a poll after a later one. Besides calling the
+/// class, the model does what each user of the class has to do:
+///  - A host that reads another one's registry for the first time, in a new incarnation of either, polls with since 0.
 ///  - A control host that started less than a lease ago confirms nothing and acknowledges nothing: the followers of its
-///    former life may not have asked it again.
-///  - A control host that is down is waited for, by what it confirmed last, until a lease after its end: by then its
-///    followers have asked elsewhere, or are out of lease.
-///  - An ask that comes after a later one says nothing of what its host has now, only that it lives.
-///  - recordFirstReply() is called with each reply to an ask of an entry host that has nothing yet.
+///    previous incarnation may not have polled it again.
+///  - A control host that is down is waited for, by its last confirmation, until a lease after its end: by then its
+///    followers have polled another one, or are out of lease.
+///  - A poll that arrives after a later one does not show what its host has now, only that it is alive.
+///  - recordFirstReply() is called with each reply to a poll of an entry host that has no updates yet.
 ///  - removeFollower() is called for entry hosts that have ended, and never for one that has moved: the control host
-///  that
-///    it left goes on counting it, also in what it confirms to third ones, which may not have heard yet that another
+///    that it left continues to count it, also in its confirmations to third ones, which may not know yet that another
 ///    one counts it.
 class Model
 {
@@ -411,7 +414,7 @@
 
     std::size_t messages() const
     {
-        return m_asks.size() + m_replies.size();
+        return m_polls.size() + m_replies.size();
     }
 
     bool isControl(std::size_t host) const
@@ -419,7 +422,7 @@
         return host < controls();
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         m_now += time;
     }
@@ -431,12 +434,12 @@
             return;
         }
         const std::size_t departure = ++m_departures;
-        control.heard[departure] = ++control.version;
+        control.direct[departure] = ++control.version;
         control.known[departure] = control.version;
-        control.news.push_back({departure, {control.version, 0}, m_now});
+        control.updates.push_back({departure, {control.version, 0}, m_now});
     }
 
-    /// The hosts agree on a change of the routing. The one that was asked for it applies it first.
+    /// The control hosts commit a change of the routing. The one that received the request applies it first.
     void changeRouting(std::size_t at)
     {
         ModelControl &control = m_controls[at];
@@ -444,7 +447,7 @@
             return;
         }
         control.routing = ++m_routing;
-        control.news.push_back({0, {0, m_routing}, m_now});
+        control.updates.push_back({0, {0, m_routing}, m_now});
     }
 
     void applyRouting(std::size_t at)
@@ -454,21 +457,21 @@
         }
     }
 
-    /// A report that only moves the version on.
-    void renew(std::size_t at)
+    /// A report that only increases the version.
+    void report(std::size_t at)
     {
         ++m_controls[at].version;
     }
 
-    /// Has pending departures confirmed anew, as of now.
-    void askAgain(std::size_t at)
+    /// Gives pending departures a newer version, so that they are confirmed again as of now.
+    void reissuePending(std::size_t at)
     {
         ModelControl &control = m_controls[at];
         ++control.version;
-        for (News &it : control.news) {
+        for (Update &it : control.updates) {
             if (it.departure != 0 && !it.isAcknowledged) {
-                it.position.registryVersion = control.version;
-                it.arose = m_now;
+                it.versions.registryVersion = control.version;
+                it.madeAt = m_now;
             }
         }
     }
@@ -488,7 +491,7 @@
             return;
         }
         ModelControl fresh;
-        fresh.life = old.life + 1;
+        fresh.incarnation = old.incarnation + 1;
         fresh.startedAt = m_now;
         fresh.routing = old.routing;
         old = std::move(fresh);
@@ -503,46 +506,46 @@
         }
     }
 
-    /// The control host that it follows hears that it has ended. A new life, with an id of its own, begins.
+    /// The control host that it follows receives its end. A new incarnation starts, with an id of its own.
     void restartEntry(std::size_t entry)
     {
         ModelEntry &host = m_entries[entry];
-        m_controls[host.follows].confirmations.removeFollower(idOf(entry, host.life));
+        m_controls[host.follows].confirmations.removeFollower(idOf(entry, host.incarnation));
         ModelEntry fresh;
-        fresh.life = host.life + 1;
+        fresh.incarnation = host.incarnation + 1;
         fresh.follows = host.follows;
         host = std::move(fresh);
     }
 
-    void ask(std::size_t host, std::size_t of)
+    void poll(std::size_t host, std::size_t of)
     {
         if (isControl(host)) {
-            askAsControl(host, of);
+            pollAsControl(host, of);
         } else {
-            askAsEntry(host - controls());
+            pollAsEntry(host - controls());
         }
     }
 
-    void lose(std::size_t message)
+    void drop(std::size_t message)
     {
-        if (message < m_asks.size()) {
-            m_asks.erase(m_asks.begin() + static_cast<std::ptrdiff_t>(message));
+        if (message < m_polls.size()) {
+            m_polls.erase(m_polls.begin() + static_cast<std::ptrdiff_t>(message));
         } else {
-            m_replies.erase(m_replies.begin() + static_cast<std::ptrdiff_t>(message - m_asks.size()));
+            m_replies.erase(m_replies.begin() + static_cast<std::ptrdiff_t>(message - m_polls.size()));
         }
     }
 
     void deliver(std::size_t message)
     {
-        if (message < m_asks.size()) {
-            const ModelAsk ask = m_asks[message];
-            lose(message);
-            onAsk(ask);
+        if (message < m_polls.size()) {
+            const ModelPoll poll = m_polls[message];
+            drop(message);
+            onPoll(poll);
             return;
         }
-        const ModelReply reply = m_replies[message - m_asks.size()];
-        lose(message);
-        if (isControl(reply.ask.from)) {
+        const ModelReply reply = m_replies[message - m_polls.size()];
+        drop(message);
+        if (isControl(reply.poll.from)) {
             onReplyToControl(reply);
         } else {
             onReplyToEntry(reply);
@@ -551,13 +554,13 @@
 
     void exchange(std::size_t host, std::size_t of)
     {
-        const std::size_t before = m_asks.size();
-        ask(host, of);
-        if (m_asks.size() == before) {
+        const std::size_t before = m_polls.size();
+        poll(host, of);
+        if (m_polls.size() == before) {
             return;
         }
         const std::size_t replies = m_replies.size();
-        deliver(m_asks.size() - 1);
+        deliver(m_polls.size() - 1);
         if (m_replies.size() > replies) {
             deliver(messages() - 1);
         }
@@ -570,11 +573,11 @@
         }
     }
 
-    /// Delivers the replies that have been on their way for so long.
+    /// Delivers the replies that have been in transit for this long.
     void deliverRepliesAfter(Duration onTheirWay)
     {
-        for (std::size_t n = m_asks.size(); n < messages();) {
-            if (m_now - m_replies[n - m_asks.size()].madeAt >= onTheirWay) {
+        for (std::size_t n = m_polls.size(); n < messages();) {
+            if (m_now - m_replies[n - m_polls.size()].madeAt >= onTheirWay) {
                 deliver(n);
             } else {
                 ++n;
@@ -582,19 +585,19 @@
         }
     }
 
-    void deliverAsks()
+    void deliverPolls()
     {
-        while (!m_asks.empty()) {
+        while (!m_polls.empty()) {
             deliver(0);
         }
     }
 
-    bool hasNothing(std::size_t host) const
+    bool hasNoUpdates(std::size_t host) const
     {
-        return !isControl(host) && m_entries[host - controls()].actsUponNothing();
+        return !isControl(host) && m_entries[host - controls()].hasNoRouting();
     }
 
-    void forget(std::size_t at)
+    void removeExpired(std::size_t at)
     {
         Names known;
         for (std::size_t n = 0; n < controls(); ++n) {
@@ -605,34 +608,34 @@
         m_controls[at].confirmations.removeExpired(known, m_now);
     }
 
-    /// Acknowledges what nobody misses. Returns whether all that nobody misses in this moment holds.
+    /// Acknowledges updates that no host lacks. Returns true if the claim below holds for each of them at this time.
     bool acknowledge()
     {
-        bool isTrue = m_allBeganWell;
+        bool isConsistent = m_allFirstRepliesComplete;
         for (std::size_t n = 0; n < controls(); ++n) {
             ModelControl &control = m_controls[n];
-            if (!control.isUp || isYoung(control)) {
+            if (!control.isUp || isRecentlyStarted(control)) {
                 continue;
             }
-            const Names peers = waitedFor(n);
-            for (News &it : control.news) {
-                const bool isDone = control.confirmations.unconfirmedHosts(it.position, peers, m_now).empty();
+            const Names peers = awaitedControls(n);
+            for (Update &it : control.updates) {
+                const bool isDone = control.confirmations.unconfirmedHosts(it.versions, peers, m_now).empty();
                 it.isAcknowledged = it.isAcknowledged || isDone;
-                isTrue = isTrue && (!isDone || holds(it));
+                isConsistent = isConsistent && (!isDone || holds(it));
                 if (isDone) {
-                    noteOwed(it);
+                    recordPromised(it);
                 }
             }
         }
-        return isTrue;
+        return isConsistent;
     }
 
     std::size_t pending() const
     {
         std::size_t sum = 0;
         for (const ModelControl &control : m_controls) {
-            sum += static_cast<std::size_t>(std::count_if(control.news.begin(), control.news.end(),
-                                                          [](const News &it) { return !it.isAcknowledged; }));
+            sum += static_cast<std::size_t>(std::count_if(control.updates.begin(), control.updates.end(),
+                                                          [](const Update &it) { return !it.isAcknowledged; }));
         }
         return sum;
     }
@@ -643,17 +646,17 @@
         return "c" + std::to_string(control);
     }
 
-    static std::string idOf(std::size_t entry, std::uint64_t life)
+    static std::string idOf(std::size_t entry, std::uint64_t incarnation)
     {
-        return "e" + std::to_string(entry) + "#" + std::to_string(life);
+        return "e" + std::to_string(entry) + "#" + std::to_string(incarnation);
     }
 
-    bool isYoung(const ModelControl &control) const
+    bool isRecentlyStarted(const ModelControl &control) const
     {
         return m_now - control.startedAt <= Lease;
     }
 
-    Names waitedFor(std::size_t by) const
+    Names awaitedControls(std::size_t by) const
     {
         Names names;
         for (std::size_t n = 0; n < controls(); ++n) {
@@ -665,134 +668,138 @@
         return names;
     }
 
-    bool holds(const News &news) const
+    bool holds(const Update &update) const
     {
         return std::all_of(m_entries.begin(), m_entries.end(), [&](const ModelEntry &entry) {
-            const bool hasIt = news.departure != 0 ? entry.knows.contains(news.departure)
-                                                   : entry.routing >= news.position.routingIndex;
-            const bool willHaveIt = entry.actsUponNothing() && beginsWith(entry, news);
-            return hasIt || willHaveIt || !isPromised(entry, news);
+            const bool hasIt = update.departure != 0 ? entry.knownDepartures.contains(update.departure)
+                                                     : entry.routing >= update.versions.routingIndex;
+            const bool willHaveIt = entry.hasNoRouting() && startsWith(entry, update);
+            return hasIt || willHaveIt || !isCovered(entry, update);
         });
     }
 
-    // Entry hosts that have nothing, and that the news was promised for, owe to begin with it.
-    void noteOwed(const News &news)
+    // Entry hosts without routing that the update is claimed for have to start with it.
+    void recordPromised(const Update &update)
     {
         for (ModelEntry &entry : m_entries) {
-            if (entry.actsUponNothing() && isPromised(entry, news)) {
-                entry.owed.push_back(news);
+            if (entry.hasNoRouting() && isCovered(entry, update)) {
+                entry.promised.push_back(update);
             }
         }
     }
 
-    static bool holdsNews(const ModelReply &reply, const News &news)
+    static bool holdsUpdate(const ModelReply &reply, const Update &update)
     {
-        return news.departure != 0 ? reply.departures.contains(news.departure)
-                                   : reply.routing >= news.position.routingIndex;
+        return update.departure != 0 ? reply.departures.contains(update.departure)
+                                     : reply.routing >= update.versions.routingIndex;
     }
 
-    // Whether an entry host that has nothing gets the news with whichever reply it may take next.
-    bool beginsWith(const ModelEntry &entry, const News &news) const
+    // Returns true if each reply that an entry host without updates may accept next holds the update.
+    bool startsWith(const ModelEntry &entry, const Update &update) const
     {
         return std::all_of(m_replies.begin(), m_replies.end(), [&](const ModelReply &reply) {
-            if (isControl(reply.ask.from) || &m_entries[reply.ask.from - controls()] != &entry
-                || !mayTake(entry, reply)) {
+            if (isControl(reply.poll.from) || &m_entries[reply.poll.from - controls()] != &entry
+                || !mayAccept(entry, reply)) {
                 return true;
             }
-            return holdsNews(reply, news);
+            return holdsUpdate(reply, update);
         });
     }
 
-    static bool mayTake(const ModelEntry &entry, const ModelReply &reply)
+    static bool mayAccept(const ModelEntry &entry, const ModelReply &reply)
     {
-        const bool isAskedFor = entry.life == reply.ask.fromLife && entry.watch.number == reply.ask.number;
-        return isAskedFor && entry.follows == reply.ask.to;
+        const bool isExpected =
+            entry.incarnation == reply.poll.fromIncarnation && entry.watch.number == reply.poll.number;
+        return isExpected && entry.follows == reply.poll.to;
     }
 
-    // Whether a control host has heard the entry host within the lease, and before the news arose.
-    bool isPromised(const ModelEntry &entry, const News &news) const
+    // Returns true if a control host received a poll of the entry host within the lease, and before the update was
+    // made.
+    bool isCovered(const ModelEntry &entry, const Update &update) const
     {
-        return std::any_of(entry.heardBy.begin(), entry.heardBy.end(),
-                           [&](const auto &it) { return m_now - it.second <= Lease && it.second <= news.arose; });
+        return std::any_of(entry.receivedPolls.begin(), entry.receivedPolls.end(),
+                           [&](const auto &it) { return m_now - it.second <= Lease && it.second <= update.madeAt; });
     }
 
-    void askAsControl(std::size_t host, std::size_t of)
+    void pollAsControl(std::size_t host, std::size_t of)
     {
         ModelControl &control = m_controls[host];
         if (!control.isUp || of == host) {
             return;
         }
         ModelWatch &watch = control.watches[of];
-        ModelAsk ask{host, control.life, of, ++watch.number, watch.epoch, {watch.since, 0}, {}};
-        if (!isYoung(control)) {
-            ask.confirmed = control.confirmations.versionsConfirmedTo(nameOf(of), std::to_string(watch.epoch),
-                                                                      control.routing, m_now);
+        ModelPoll poll{host, control.incarnation, of, ++watch.number, watch.epoch, {watch.since, 0}, {}};
+        if (!isRecentlyStarted(control)) {
+            poll.confirmed = control.confirmations.versionsConfirmedTo(nameOf(of), std::to_string(watch.epoch),
+                                                                       control.routing, m_now);
         }
-        m_asks.push_back(ask);
+        m_polls.push_back(poll);
     }
 
-    void askAsEntry(std::size_t entry)
+    void pollAsEntry(std::size_t entry)
     {
         ModelEntry &host = m_entries[entry];
-        m_asks.push_back({controls() + entry,
-                          host.life,
-                          host.follows,
-                          ++host.watch.number,
-                          host.watch.epoch,
-                          {host.watch.since, host.routing},
-                          {}});
+        m_polls.push_back({controls() + entry,
+                           host.incarnation,
+                           host.follows,
+                           ++host.watch.number,
+                           host.watch.epoch,
+                           {host.watch.since, host.routing},
+                           {}});
     }
 
-    void onAsk(const ModelAsk &ask)
+    void onPoll(const ModelPoll &poll)
     {
-        ModelControl &control = m_controls[ask.to];
+        ModelControl &control = m_controls[poll.to];
         if (!control.isUp) {
             return;
         }
-        const bool isThisLife = ask.epoch == control.life;
-        const std::uint64_t since = isThisLife ? ask.has.registryVersion : 0;
-        if (isControl(ask.from)) {
-            const std::uint64_t upTo = isThisLife ? ask.confirmed.registryVersion : 0;
-            control.confirmations.recordPeerConfirmation(nameOf(ask.from), {upTo, ask.confirmed.routingIndex});
+        const bool isSameIncarnation = poll.epoch == control.incarnation;
+        const std::uint64_t since = isSameIncarnation ? poll.applied.registryVersion : 0;
+        if (isControl(poll.from)) {
+            const std::uint64_t upTo = isSameIncarnation ? poll.confirmed.registryVersion : 0;
+            control.confirmations.recordPeerConfirmation(nameOf(poll.from), {upTo, poll.confirmed.routingIndex});
         } else {
-            noteFollower(control, ask, since);
+            recordFollower(control, poll, since);
         }
-        m_replies.push_back(makeReply(control, ask, since));
-        const bool hasNothing = !isControl(ask.from) && ask.epoch == 0 && ask.has.routingIndex == 0;
-        if (hasNothing && isNoted(control, ask)) {
+        m_replies.push_back(makeReply(control, poll, since));
+        const bool hasNoUpdates = !isControl(poll.from) && poll.epoch == 0 && poll.applied.routingIndex == 0;
+        if (hasNoUpdates && isLatest(control, poll)) {
             const ModelReply &reply = m_replies.back();
-            control.confirmations.recordFirstReply(idOf(ask.from - controls(), ask.fromLife),
+            control.confirmations.recordFirstReply(idOf(poll.from - controls(), poll.fromIncarnation),
                                                    {reply.version, reply.routing});
         }
     }
 
-    // Whether no later ask of the same life was noted before.
-    static bool isNoted(const ModelControl &control, const ModelAsk &ask)
+    // Returns true if no later poll of the same incarnation was recorded before.
+    static bool isLatest(const ModelControl &control, const ModelPoll &poll)
     {
-        const auto it = control.newest.find(ask.from);
-        return it != control.newest.end() && it->second == std::pair(ask.fromLife, ask.number);
+        const auto it = control.latestPolls.find(poll.from);
+        return it != control.latestPolls.end() && it->second == std::pair(poll.fromIncarnation, poll.number);
     }
 
-    void noteFollower(ModelControl &control, const ModelAsk &ask, std::uint64_t since)
+    void recordFollower(ModelControl &control, const ModelPoll &poll, std::uint64_t since)
     {
-        const std::size_t entry = ask.from - controls();
-        std::pair<std::uint64_t, std::uint64_t> &newest = control.newest[ask.from];
-        if (newest < std::pair(ask.fromLife, ask.number)) {
-            newest = {ask.fromLife, ask.number};
-            control.confirmations.recordPoll(idOf(entry, ask.fromLife), {since, ask.has.routingIndex}, m_now);
+        const std::size_t entry = poll.from - controls();
+        std::pair<std::uint64_t, std::uint64_t> &latestPolls = control.latestPolls[poll.from];
+        if (latestPolls < std::pair(poll.fromIncarnation, poll.number)) {
+            latestPolls = {poll.fromIncarnation, poll.number};
+            control.confirmations.recordPoll(idOf(entry, poll.fromIncarnation), {since, poll.applied.routingIndex},
+                                             m_now);
         } else {
-            control.confirmations.renewFollowerLease(idOf(entry, ask.fromLife), m_now);
+            control.confirmations.renewFollowerLease(idOf(entry, poll.fromIncarnation), m_now);
         }
-        if (ask.fromLife == m_entries[entry].life) {
-            m_entries[entry].heardBy.emplace_back(ask.to, m_now);
+        if (poll.fromIncarnation == m_entries[entry].incarnation) {
+            m_entries[entry].receivedPolls.emplace_back(poll.to, m_now);
         }
     }
 
-    // Other control hosts are told what was heard here, and all if they have nothing; entry hosts are told all.
-    ModelReply makeReply(const ModelControl &control, const ModelAsk &ask, std::uint64_t since) const
+    // Other control hosts are sent what was received here directly, and everything if they have nothing; entry hosts
+    // are sent everything.
+    ModelReply makeReply(const ModelControl &control, const ModelPoll &poll, std::uint64_t since) const
     {
-        ModelReply reply{ask, control.life, control.version, control.routing, {}, m_now};
-        for (const auto &[departure, version] : isControl(ask.from) && since != 0 ? control.heard : control.known) {
+        ModelReply reply{poll, control.incarnation, control.version, control.routing, {}, m_now};
+        for (const auto &[departure, version] : isControl(poll.from) && since != 0 ? control.direct : control.known) {
             if (version > since) {
                 reply.departures.insert(departure);
             }
@@ -802,12 +809,12 @@
 
     void onReplyToControl(const ModelReply &reply)
     {
-        ModelControl &control = m_controls[reply.ask.from];
-        const bool isOfThisLife = control.isUp && control.life == reply.ask.fromLife;
-        if (!isOfThisLife || control.watches[reply.ask.to].number != reply.ask.number) {
+        ModelControl &control = m_controls[reply.poll.from];
+        const bool isCurrentIncarnation = control.isUp && control.incarnation == reply.poll.fromIncarnation;
+        if (!isCurrentIncarnation || control.watches[reply.poll.to].number != reply.poll.number) {
             return;
         }
-        ModelWatch &watch = control.watches[reply.ask.to];
+        ModelWatch &watch = control.watches[reply.poll.to];
         watch.epoch = reply.epoch;
         watch.since = reply.version;
         for (const std::size_t it : reply.departures) {
@@ -815,23 +822,23 @@
                 control.known[it] = ++control.version;
             }
         }
-        control.confirmations.recordMerge(nameOf(reply.ask.to), std::to_string(reply.epoch), reply.version,
+        control.confirmations.recordMerge(nameOf(reply.poll.to), std::to_string(reply.epoch), reply.version,
                                           control.version);
     }
 
     void onReplyToEntry(const ModelReply &reply)
     {
-        ModelEntry &host = m_entries[reply.ask.from - controls()];
-        if (!mayTake(host, reply)) {
+        ModelEntry &host = m_entries[reply.poll.from - controls()];
+        if (!mayAccept(host, reply)) {
             return;
         }
-        for (const News &it : std::exchange(host.owed, {})) {
-            m_allBeganWell = m_allBeganWell && holdsNews(reply, it);
+        for (const Update &it : std::exchange(host.promised, {})) {
+            m_allFirstRepliesComplete = m_allFirstRepliesComplete && holdsUpdate(reply, it);
         }
         host.watch.epoch = reply.epoch;
         host.watch.since = reply.version;
         host.routing = std::max(host.routing, reply.routing);
-        host.knows.insert(reply.departures.begin(), reply.departures.end());
+        host.knownDepartures.insert(reply.departures.begin(), reply.departures.end());
     }
 
     TimePoint m_now = Start;
@@ -839,12 +846,12 @@
     std::uint64_t m_routing = 1;
     std::vector<ModelControl> m_controls;
     std::vector<ModelEntry> m_entries;
-    std::vector<ModelAsk> m_asks;
+    std::vector<ModelPoll> m_polls;
     std::vector<ModelReply> m_replies;
-    bool m_allBeganWell = true; ///< each first reply held what was owed
+    bool m_allFirstRepliesComplete = true; ///< each first reply held what was promised
 };
 
-// Evenly from the whole range also in the first, small cases, in which inRange() alone draws low numbers.
+// Draws evenly from the whole range, also in the first, small cases, in which inRange() alone draws low numbers.
 int between(int low, int high)
 {
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(low, high));
@@ -855,53 +862,53 @@
     return static_cast<std::size_t>(between(0, static_cast<int>(limit)));
 }
 
-/// Time that each step takes, so that no two happen at once.
+/// Time between two steps, so that no two happen at the same time.
 constexpr auto StepTime = 1us;
 
-constexpr std::size_t MostControls = 4;
-constexpr std::size_t MostEntries = 4;
+constexpr std::size_t MaxControls = 4;
+constexpr std::size_t MaxEntries = 4;
 
-/// What happens in a random series.
+/// Step of a random series.
 enum class Step : std::uint8_t {
-    Exchange, ///< an ask and its reply, both at once
-    Ask,
+    Exchange, ///< a poll and its reply, both delivered immediately
+    Poll,
     Deliver,
-    Lose,
-    Pass,
+    Drop,
+    Advance,
     Depart,
     ChangeRouting,
     ApplyRouting,
-    Renew,
+    Report,
     Move,
-    AskAgain,
-    Forget,
+    ReissuePending,
+    RemoveExpired,
     StopControl,
     StartControl,
     RestartEntry,
-    BeSilent,
+    Silence,
 };
 
 Step drawStep()
 {
     return *rc::gen::weightedElement<Step>({{60, Step::Exchange},
-                                            {30, Step::Ask},
+                                            {30, Step::Poll},
                                             {40, Step::Deliver},
-                                            {4, Step::Lose},
-                                            {8, Step::Pass},
+                                            {4, Step::Drop},
+                                            {8, Step::Advance},
                                             {4, Step::Depart},
                                             {2, Step::ChangeRouting},
                                             {4, Step::ApplyRouting},
-                                            {2, Step::Renew},
+                                            {2, Step::Report},
                                             {4, Step::Move},
-                                            {1, Step::AskAgain},
-                                            {2, Step::Forget},
+                                            {1, Step::ReissuePending},
+                                            {2, Step::RemoveExpired},
                                             {2, Step::StopControl},
                                             {4, Step::StartControl},
                                             {1, Step::RestartEntry},
-                                            {1, Step::BeSilent}});
+                                            {1, Step::Silence}});
 }
 
-void takeMessage(Model &model, bool arrives)
+void deliverOrDrop(Model &model, bool arrives)
 {
     if (model.messages() == 0) {
         return;
@@ -910,53 +917,53 @@
     if (arrives) {
         model.deliver(message);
     } else {
-        model.lose(message);
+        model.drop(message);
     }
 }
 
-void take(Model &model, Step step)
+void takeStep(Model &model, Step step)
 {
     const std::size_t control = below(model.controls());
     const std::size_t entry = below(model.hosts() - model.controls());
-    model.pass(StepTime);
+    model.advance(StepTime);
     switch (step) {
     case Step::Exchange:
         return model.exchange(below(model.hosts()), control);
-    case Step::Ask:
-        return model.ask(below(model.hosts()), control);
+    case Step::Poll:
+        return model.poll(below(model.hosts()), control);
     case Step::Deliver:
-        return takeMessage(model, true);
-    case Step::Lose:
-        return takeMessage(model, false);
-    case Step::Pass:
-        return model.pass(Milliseconds(between(1, 60)));
+        return deliverOrDrop(model, true);
+    case Step::Drop:
+        return deliverOrDrop(model, false);
+    case Step::Advance:
+        return model.advance(Milliseconds(between(1, 60)));
     case Step::Depart:
         return model.depart(control);
     case Step::ChangeRouting:
         return model.changeRouting(control);
     case Step::ApplyRouting:
         return model.applyRouting(control);
-    case Step::Renew:
-        return model.renew(control);
+    case Step::Report:
+        return model.report(control);
     case Step::Move:
         return model.move(entry, control);
-    case Step::AskAgain:
-        return model.askAgain(control);
-    case Step::Forget:
-        return model.forget(control);
+    case Step::ReissuePending:
+        return model.reissuePending(control);
+    case Step::RemoveExpired:
+        return model.removeExpired(control);
     case Step::StopControl:
         return model.stop(control);
     case Step::StartControl:
         return model.start(control);
     case Step::RestartEntry:
         return model.restartEntry(entry);
-    case Step::BeSilent:
-        return model.pass(Lease + Milliseconds(between(-100, 300)));
+    case Step::Silence:
+        return model.advance(Lease + Milliseconds(between(-100, 300)));
     }
 }
 
-// Asks and replies that all arrive at once, twice as often as news need to come from one control host to another, from
-// there to its followers, and back.
+// Polls and replies that are all delivered immediately, twice as often as an update needs to get from one control host
+// to another, from there to its followers, and back.
 void settle(Model &model)
 {
     for (std::size_t n = 0; n < model.controls(); ++n) {
@@ -964,12 +971,12 @@
         model.applyRouting(n);
     }
     model.deliverAll();
-    model.pass(2 * Lease);
+    model.advance(2 * Lease);
     constexpr int Rounds = 8;
     for (int round = 0; round < Rounds; ++round) {
         for (std::size_t host = 0; host < model.hosts(); ++host) {
             for (std::size_t of = 0; of < model.controls(); ++of) {
-                model.ask(host, of);
+                model.poll(host, of);
                 model.deliverAll();
             }
         }
@@ -978,30 +985,32 @@
 
 } // namespace
 
-// What is claimed: in a moment in which missing() of the control host that took a departure is empty, each entry host
-// has taken the departure over of which any control host has taken an ask
-//  - within the lease before that moment, and
-//  - not after the departure's position came to be.
-// One that has no routing and so sends nothing may lack it until its first reply comes, which must hold it.
-// It does not matter which control host that was, whether the entry host has moved since, any number of times, whether
-// its asks after that one arrive, or whether the control host has ended or begun a new life since. The same is claimed
-// of a change of the routing.
+// Claim: at a time when unconfirmedHosts() of the control host that received a departure is empty, an entry host has
+// applied the departure if any control host received a poll of it
+//  - within the lease before that time, and
+//  - not after the departure's version came into existence.
+// An entry host that has no routing, and so sends nothing, may lack it until its first reply arrives, which must hold
+// it. It does not matter which control host received the poll, whether the entry host has moved since, any number of
+// times, whether its later polls arrive, or whether the control host has stopped or restarted since. The same is
+// claimed of a change of the routing.
 //
-// What is not claimed: anything of an entry host whose asks within the lease all came after the departure. It has just
-// started, or was silent for as long as the departure was pending and longer. A control host may have confirmed the
-// departure before this host came to it; its reply to the first ask then holds the departure, but that reply may be on
-// its way. An entry host that asks at least once in each time G, wherever, is thus covered by what is acknowledged
-// within the lease less G of its position. A departure that is pending for longer is given a newer position (askAgain).
-TEST_CASE("random series: what nobody misses, each entry host has that asked within the lease and before it arose")
+// Nothing is claimed of an entry host whose polls within the lease were all received after the departure. Such a host
+// has just started, or was silent for at least as long as the departure was pending. A control host may have confirmed
+// the departure before this host began to follow it; its reply to the first poll then holds the departure, but may
+// still be in transit. So an entry host that polls any control host at least once in each time G is covered by what is
+// acknowledged within the lease less G after its version came into existence. A departure that is pending for longer is
+// given a newer version (reissuePending()).
+TEST_CASE("random series: an update that no host lacks is at each entry host that polled within the lease and before "
+          "it was made")
 {
     const bool holds = rc::check([] {
-        Model model(1 + below(MostControls), 1 + below(MostEntries));
+        Model model(1 + below(MaxControls), 1 + below(MaxEntries));
         const int steps = between(100, 2000);
         for (int n = 0; n < steps; ++n) {
-            take(model, drawStep());
+            takeStep(model, drawStep());
             RC_ASSERT(model.acknowledge());
         }
-        // When all is well again, all that is pending comes to be acknowledged.
+        // Once all hosts run and all messages arrive, everything pending is acknowledged.
         settle(model);
         RC_ASSERT(model.acknowledge());
         RC_ASSERT(model.pending() == 0U);
@@ -1009,33 +1018,33 @@
     CHECK(holds);
 }
 
-// The pattern: 300 entry hosts of which 14 restart each second, for long. A host that has restarted gets all that there
-// is over its narrow link, which takes about as long as the pause to the next restarts; so at each moment some host has
-// asked and has nothing yet. What is agreed on has to be acknowledged all the same: hosts that send nothing break no
-// promise, and begin with what their first reply tells.
+// Of 300 entry hosts 14 restart each second, for a long time. A restarted host receives the whole state over its narrow
+// link, which takes about as long as the time to the next restarts; so at each moment some host has polled and has no
+// updates yet. Committed changes have to be acknowledged all the same: hosts that send nothing violate nothing that was
+// acknowledged, and start with their first reply.
 TEST_CASE("hosts that restart in series hold up neither departures nor changes")
 {
     constexpr std::size_t Controls = 3;
     constexpr std::size_t Entries = 300;
     constexpr std::size_t RestartsEachSecond = 14;
     constexpr auto StepLength = 50ms;
-    constexpr auto FirstReply = 900ms; ///< on its way: some 200 KB over 2.6 Mbit/s, beside the answers of targets
-    constexpr auto Bound = 2s; ///< in which all is to be acknowledged; operators wait for 4 s and more
+    constexpr auto FirstReply = 900ms; ///< in transit: some 200 KB over 2.6 Mbit/s, beside the answers of targets
+    constexpr auto Bound = 2s; ///< within which everything is to be acknowledged; operators wait for 4 s and more
     Model model(Controls, Entries);
     std::size_t restarted = 0;
     const auto step = [&](int n) {
-        model.pass(StepLength);
+        model.advance(StepLength);
         if (n % (1s / StepLength) == 0) {
             for (std::size_t k = 0; k < RestartsEachSecond; ++k) {
                 const std::size_t entry = restarted++ % Entries;
                 model.restartEntry(entry);
-                model.ask(Controls + entry, 0);
+                model.poll(Controls + entry, 0);
             }
         }
-        model.deliverAsks();
+        model.deliverPolls();
         model.deliverRepliesAfter(FirstReply);
         for (std::size_t host = 0; host < model.hosts(); ++host) {
-            if (!model.hasNothing(host)) {
+            if (!model.hasNoUpdates(host)) {
                 model.exchange(host, static_cast<std::size_t>(n) % Controls);
             }
         }
