--- a/unittests/Routes/RoutesTest.cpp
+++ b/unittests/Routes/RoutesTest.cpp
@@ -1,4 +1,4 @@
-//===- RoutesTest.cpp - Matching, checks, and what control hosts agree on -===//
+//===- RoutesTest.cpp - Matching, checks and replicated routing state -----===//
 #include "pepperlug/Routes.h"
 
 #include <catch2/catch.hpp>
@@ -51,10 +51,10 @@
     CHECK(it.match("b.example", "/a/x") == nullptr);
 }
 
-TEST_CASE("an index finds the route that a walk over all routes finds")
+TEST_CASE("an index finds the route that a linear search finds")
 {
-    // Few letters, so that prefixes of each other, near misses and routes in the same place come up; and prefixes that
-    // don't begin or end with a slash, as a table that was not checked may have.
+    // Few letters, so that prefixes of each other, near misses and routes with the same host and prefix occur; and
+    // prefixes that don't begin or end with a slash, as an unchecked table may have.
     const auto text = rc::gen::container<std::string>(rc::gen::elementOf(std::string("//ab\xff")));
     CHECK(rc::check([&] {
         auto it = std::make_shared<RouteTable>();
@@ -78,7 +78,7 @@
     }));
 }
 
-TEST_CASE("an index finds each of many routes, and the shorter one where a longer one does not fit")
+TEST_CASE("an index finds each of many routes, and a shorter one where a longer one does not match")
 {
     auto it = std::make_shared<RouteTable>();
     for (int n = 0; n < 4000; ++n) {
@@ -104,7 +104,7 @@
     {
         bad.routes[0].services[0].service = "x";
     }
-    SECTION("two routes in one place")
+    SECTION("two routes with the same host and prefix")
     {
         bad.routes[1].prefix = bad.routes[0].prefix;
     }
@@ -144,14 +144,14 @@
     {
         bad.tenants = {{"t1", {"k1"}, {}, {-1, 0}}};
     }
-    SECTION("a burst that is no number")
+    SECTION("a burst that is not a number")
     {
         bad.tenants = {{"t1", {"k1"}, {}, {1, std::numeric_limits<double>::quiet_NaN()}}};
     }
     CHECK(checkRouteTable(bad, "f").size() == 1);
 }
 
-TEST_CASE("a key that two tenants share is told by its place, never by itself")
+TEST_CASE("a finding on a key that two tenants share names its path, never the key")
 {
     RouteTable bad = table();
     bad.tenants = {{"t1", {"secret"}}, {"t2", {"other", "secret"}}};
@@ -171,7 +171,7 @@
     CHECK(index.tenantOf("") == nullptr);
 }
 
-TEST_CASE("homes of a tenant alone are homes of the table")
+TEST_CASE("home regions of a tenant alone are home regions of the table")
 {
     RouteTable bound = table();
     for (Route &it : bound.routes) {
@@ -190,7 +190,7 @@
     CHECK(checkRouteTable(bad, "f").size() == 1);
 }
 
-TEST_CASE("of two changes upon the same version one is taken")
+TEST_CASE("of two changes based on the same version one is applied")
 {
     RoutingState state;
     CHECK(state.apply(put(0, 4, "one"), 1) == RoutingResult::Done);
@@ -199,7 +199,7 @@
     CHECK(state.text() == "one");
 }
 
-TEST_CASE("a change that was taken is acknowledged again, also after others")
+TEST_CASE("a change that was applied is acknowledged again, even after later changes")
 {
     RoutingState state;
     state.apply(put(0, 4, "one"), 1);
@@ -209,7 +209,7 @@
     CHECK(state.index() == 2);
 }
 
-TEST_CASE("the same version with another text, or upon another base, is no resend")
+TEST_CASE("the same version with another text, or based on another version, is no retry")
 {
     RoutingState state;
     state.apply(put(0, 4, "one"), 1);
@@ -218,7 +218,7 @@
     CHECK(state.text() == "one");
 }
 
-TEST_CASE("evacuations are repeated without effect, and survive a snapshot with all else")
+TEST_CASE("a repeated evacuation has no effect, and a snapshot holds the whole state")
 {
     RoutingState state;
     state.apply(put(0, 4, "one"), 1);
--- a/unittests/Routes/RoutingNewsTest.cpp
+++ b/unittests/Routes/RoutingUpdatesTest.cpp
@@ -1,4 +1,4 @@
-//===- RoutingNewsTest.cpp - Routing told as differences ------------------===//
+//===- RoutingUpdatesTest.cpp - Routing updates as differences ------------===//
 #include "pepperlug/Routes.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 {
 
 const std::string Peer = "control-2";
-/// Routes of the largest table that is to be told in time.
+/// Routes of the largest table whose changes must arrive in time.
 constexpr unsigned ManyRoutes = 4000;
 
 Route routeAt(unsigned n)
@@ -21,7 +21,7 @@
     Route it;
     it.name = "route-" + std::to_string(n);
     it.host = "host" + std::to_string(n % 40) + ".shop.example";
-    // A part of the text follows from nothing else, as names that people give.
+    // A part of the prefix is not derivable from the rest, like names that people choose.
     it.prefix = "/area/" + std::to_string(hash64(it.name) % 1'000'000) + "/" + std::to_string(n) + "/";
     it.kind = n % 3 == 0 ? RouteKind::OnceOnly : RouteKind::Repeatable;
     it.timeout = Milliseconds(1000 + n % 7 * 500);
@@ -56,7 +56,7 @@
     return {index, std::make_shared<RouteTable>(std::move(table)), std::move(evacuated)};
 }
 
-/// Of another table, so that a change of the first is seen.
+/// Copies the table too, so that a modification of the original is detected.
 RoutingView copyOf(const RoutingView &view)
 {
     RoutingView copy = view;
@@ -129,11 +129,11 @@
     return text;
 }
 
-/// Routing that changes at random: mostly a little, now and then altogether.
-class Author
+/// Routing that changes at random: mostly a little, sometimes completely.
+class RandomRouting
 {
 public:
-    /// Few, so that changes are short against the whole and readers further behind are told them too.
+    /// Few, so that changes are short compared with the whole view and are sent to recipients further behind too.
     static constexpr unsigned FewServices = 3;
 
     RoutingView next()
@@ -241,16 +241,16 @@
 
 } // namespace
 
-TEST_CASE("a reader of any earlier view that applies what is told has exactly the newest")
+TEST_CASE("a recipient of any earlier view that applies the changes has exactly the latest view")
 {
     CHECK(rc::check([] {
-        Author author;
+        RandomRouting routing;
         RoutingHistory history;
         std::vector<RoutingView> views{{}};
         const auto steps = *rc::gen::inRange(1, 25);
         std::size_t longest = 0;
         for (int n = 0; n < steps; ++n) {
-            views.push_back(author.next());
+            views.push_back(routing.next());
             history.append(views.back());
             for (const RoutingView &it : views) {
                 const RoutingView before = copyOf(it);
@@ -262,27 +262,27 @@
                 longest = std::max(longest, changes.size());
             }
         }
-        RC_CLASSIFY(longest > 3, "told in more than three changes");
+        RC_CLASSIFY(longest > 3, "sent in more than three changes");
     }));
 }
 
-TEST_CASE("a reader that follows step by step, each time upon what it was told, has the newest")
+TEST_CASE("a recipient that applies changes step by step has the latest view")
 {
     CHECK(rc::check([] {
-        Author author;
+        RandomRouting routing;
         RoutingHistory history;
-        RoutingView reader;
+        RoutingView recipient;
         for (int n = 0; n < 30; ++n) {
-            history.append(author.next());
+            history.append(routing.next());
             if (*rc::gen::inRange(0, 3) == 0) {
-                reader = applyRoutingChanges(reader, history.changesSince(reader.index), Peer);
-                RC_ASSERT(isSame(reader, history.view()));
+                recipient = applyRoutingChanges(recipient, history.changesSince(recipient.index), Peer);
+                RC_ASSERT(isSame(recipient, history.view()));
             }
         }
     }));
 }
 
-TEST_CASE("nothing is told to a reader that has the newest or a newer one")
+TEST_CASE("no changes are sent to a recipient that has the latest view or a newer one")
 {
     RoutingHistory history;
     CHECK(history.index() == 0);
@@ -294,7 +294,7 @@
     CHECK(history.changesSince(6).size() == 1);
 }
 
-TEST_CASE("a view that is not newer than the last is ignored")
+TEST_CASE("a view that is not newer than the latest is ignored")
 {
     RoutingHistory history;
     history.append(viewOf(7, tableOf(5, 2)));
@@ -302,11 +302,11 @@
     history.append(viewOf(6, tableOf(4, 1)));
     CHECK(history.index() == 7);
     CHECK(history.view().table->version == 2);
-    const RoutingView reader = applyRoutingChanges({}, history.changesSince(0), Peer);
-    CHECK(isSame(reader, history.view()));
+    const RoutingView recipient = applyRoutingChanges({}, history.changesSince(0), Peer);
+    CHECK(isSame(recipient, history.view()));
 }
 
-TEST_CASE("an index between two views is known to none: its reader gets the whole")
+TEST_CASE("a recipient whose index is between two views is sent the whole view")
 {
     RoutingHistory history;
     history.append(viewOf(3, tableOf(40)));
@@ -317,20 +317,20 @@
     CHECK(history.changesSince(5) == history.changesSince(0));
 }
 
-TEST_CASE("an evacuation carries no routes, and the reader keeps its table")
+TEST_CASE("an evacuation holds no routes, and the recipient keeps its table")
 {
     RoutingHistory history;
     history.append(viewOf(1, tableOf(ManyRoutes)));
-    const RoutingView reader = applyRoutingChanges({}, history.changesSince(0), Peer);
+    const RoutingView recipient = applyRoutingChanges({}, history.changesSince(0), Peer);
     history.append({2, history.view().table, {"z1"}});
     const std::vector<std::string> changes = history.changesSince(1);
     CHECK(expanded(changes.at(0)).find("/area/") == std::string::npos);
-    const RoutingView after = applyRoutingChanges(reader, changes, Peer);
+    const RoutingView after = applyRoutingChanges(recipient, changes, Peer);
     CHECK(isSame(after, history.view()));
-    CHECK(after.table == reader.table);
+    CHECK(after.table == recipient.table);
 }
 
-TEST_CASE("a change of weights in a table of 4,000 routes is told in less than 1 KB")
+TEST_CASE("a change of weights in a table of 4,000 routes takes less than 1 KB")
 {
     RouteTable table = tableOf(ManyRoutes);
     RoutingHistory history;
@@ -346,7 +346,7 @@
     CHECK(bytesIn(history.changesSince(1)) < 1024);
 }
 
-TEST_CASE("a key taken away from one of 76 tenants is told in less than 300 bytes")
+TEST_CASE("a key removed from one of 76 tenants takes less than 300 bytes")
 {
     RouteTable table = tableOf(40, 1);
     for (unsigned n = 0; n < 76; ++n) {
@@ -359,15 +359,15 @@
     table.version = 2;
     table.tenants[7].keyDigests.pop_back();
     history.append(viewOf(2, table));
-    // Services and limits are told whole with each change; the tenants are not.
-    RoutingHistory without;
+    // Each change holds all services and limits; of the tenants only those that differ.
+    RoutingHistory withoutTenants;
     RouteTable plain = tableOf(40, 1);
-    without.append(viewOf(1, plain));
+    withoutTenants.append(viewOf(1, plain));
     plain.version = 2;
-    without.append(viewOf(2, plain));
-    CHECK(bytesIn(history.changesSince(1)) < bytesIn(without.changesSince(1)) + 300);
+    withoutTenants.append(viewOf(2, plain));
+    CHECK(bytesIn(history.changesSince(1)) < bytesIn(withoutTenants.changesSince(1)) + 300);
     CHECK(limits > 76 * 2 * 16);
-    const RoutingView reader =
+    const RoutingView recipient =
         applyRoutingChanges(viewOf(1,
                                    [&] {
                                        RouteTable old = table;
@@ -376,10 +376,10 @@
                                        return old;
                                    }()),
                             history.changesSince(1), Peer);
-    CHECK(isSame(reader, history.view()));
+    CHECK(isSame(recipient, history.view()));
 }
 
-TEST_CASE("a change for other tenants under the reader's index is an error")
+TEST_CASE("a change made for other tenants under the recipient's index is an error")
 {
     RouteTable table = tableOf(4, 1);
     table.tenants = {{"t1", {"k1"}}};
@@ -394,7 +394,7 @@
     CHECK_THROWS_AS(applyRoutingChanges(viewOf(3, other), history.changesSince(3), Peer), Error);
 }
 
-TEST_CASE("1,400 added routes are told in less than 60 KB")
+TEST_CASE("1,400 added routes take less than 60 KB")
 {
     RoutingHistory history;
     history.append(viewOf(1, tableOf(ManyRoutes - 1400, 1)));
@@ -404,7 +404,7 @@
     CHECK(bytesIn(history.changesSince(1)) < 60 * 1024);
 }
 
-TEST_CASE("a reader too far behind gets the whole, in one change that applies to anything")
+TEST_CASE("a recipient too far behind is sent the whole view, in one change that applies to any view")
 {
     RoutingHistory history;
     std::vector<RoutingView> views;
@@ -420,7 +420,7 @@
     CHECK(history.changesSince(299) != whole);
     CHECK(isSame(applyRoutingChanges({}, whole, Peer), views.back()));
     CHECK(isSame(applyRoutingChanges(views.front(), whole, Peer), views.back()));
-    // Those that are not far behind get no more than the whole together.
+    // A recipient that is not far behind is sent no more bytes than the whole view has.
     const auto behind = [&](std::uint64_t n) {
         return bytesIn(history.changesSince(300 - n));
     };
@@ -428,7 +428,7 @@
     CHECK(behind(2) < bytesIn(whole));
 }
 
-TEST_CASE("a change that replaces nearly all routes is told as the whole")
+TEST_CASE("a change that replaces nearly all routes is sent as the whole view")
 {
     RoutingHistory history;
     history.append(viewOf(1, tableOf(200, 1)));
@@ -441,7 +441,7 @@
     CHECK(isSame(applyRoutingChanges({}, history.changesSince(1), Peer), history.view()));
 }
 
-TEST_CASE("a change upon another index than the reader's is an error that names the peer")
+TEST_CASE("a change made for another index than the recipient's is an error that names the peer")
 {
     RoutingHistory history;
     history.append(viewOf(3, tableOf(40)));
@@ -450,10 +450,10 @@
     const std::vector<std::string> changes = history.changesSince(3);
     REQUIRE(changes.size() == 2);
     const RoutingView first = viewOf(3, tableOf(40));
-    const auto failsOn = [&](const RoutingView &from, const std::vector<std::string> &told) {
+    const auto failsOn = [&](const RoutingView &from, const std::vector<std::string> &sent) {
         const RoutingView before = copyOf(from);
         try {
-            applyRoutingChanges(from, told, Peer);
+            applyRoutingChanges(from, sent, Peer);
         } catch (const Error &ex) {
             CHECK(ex.peer() == Peer);
             CHECK_FALSE(ex.step().empty());
@@ -471,81 +471,81 @@
     CHECK_FALSE(failsOn(first, changes));
 }
 
-TEST_CASE("a change upon other routes under the reader's index is an error, and the whole mends it")
+TEST_CASE("a change made for other routes under the recipient's index is an error, and the whole view repairs it")
 {
-    RoutingHistory told;
-    told.append(viewOf(1, tableOf(20)));
+    RoutingHistory sent;
+    sent.append(viewOf(1, tableOf(20)));
     RoutingHistory other;
-    RouteTable elsewhere = tableOf(20);
-    elsewhere.routes[6].homeRegions = {"south"};
-    other.append(viewOf(1, elsewhere));
+    RouteTable otherTable = tableOf(20);
+    otherTable.routes[6].homeRegions = {"south"};
+    other.append(viewOf(1, otherTable));
     RouteTable next = tableOf(20, 2);
     next.routes[3].attempts = 7;
-    told.append(viewOf(2, next));
-    const RoutingView reader = applyRoutingChanges({}, other.changesSince(0), Peer);
+    sent.append(viewOf(2, next));
+    const RoutingView recipient = applyRoutingChanges({}, other.changesSince(0), Peer);
     try {
-        applyRoutingChanges(reader, told.changesSince(1), Peer);
-        FAIL("it was taken");
+        applyRoutingChanges(recipient, sent.changesSince(1), Peer);
+        FAIL("the change was applied");
     } catch (const Error &ex) {
         CHECK(std::string(ex.what()).find(Peer) != std::string::npos);
     }
-    const RoutingView mended = applyRoutingChanges(reader, told.changesSince(0), Peer);
-    CHECK(hasSameRoutes(*mended.table, next));
+    const RoutingView repaired = applyRoutingChanges(recipient, sent.changesSince(0), Peer);
+    CHECK(hasSameRoutes(*repaired.table, next));
 }
 
-TEST_CASE("a change that removes a route that is not there is an error that names the peer")
+TEST_CASE("a change that removes an unknown route is an error that names the peer")
 {
     RoutingHistory history;
     history.append(viewOf(3, tableOf(40, 1)));
     history.append(viewOf(4, tableOf(39, 2)));
-    // The reader says that it knows index 3, but knows another table.
-    const RoutingView reader = viewOf(3, tableOf(20, 1));
+    // The recipient claims to have index 3, but has another table.
+    const RoutingView recipient = viewOf(3, tableOf(20, 1));
     try {
-        applyRoutingChanges(reader, history.changesSince(3), Peer);
-        FAIL("it was applied");
+        applyRoutingChanges(recipient, history.changesSince(3), Peer);
+        FAIL("the change was applied");
     } catch (const Error &ex) {
         CHECK(ex.peer() == Peer);
         CHECK(ex.reason().find(routeAt(39).prefix) != std::string::npos);
     }
-    CHECK(reader.table->routes.size() == 20);
+    CHECK(recipient.table->routes.size() == 20);
 }
 
 namespace
 {
 
-/// What a reader of index 1 is told, as a difference and as the whole.
-class Told
+/// A change for a recipient of index 1, as a difference and as the whole view.
+class SampleChange
 {
 public:
-    Told()
+    SampleChange()
     {
-        reader = viewOf(1, tableOf(40, 1));
+        recipient = viewOf(1, tableOf(40, 1));
         RoutingHistory history;
-        history.append(reader);
+        history.append(recipient);
         history.append(viewOf(2, tableOf(42, 2), {"z1"}));
         newest = history.view();
         change = history.changesSince(1).at(0);
         whole = history.changesSince(0).at(0);
     }
 
-    /// One of the two.
+    /// Returns one of the two, at random.
     std::string any() const
     {
         return *rc::gen::arbitrary<bool>() ? change : whole;
     }
 
-    /// Nothing if it can't be applied; such an error must name the peer.
+    /// Returns nothing if the change can't be applied; the error must name the peer.
     std::optional<RoutingView> apply(const std::string &data) const
     {
         try {
-            return applyRoutingChanges(reader, {data}, Peer);
+            return applyRoutingChanges(recipient, {data}, Peer);
         } catch (const Error &ex) {
             RC_ASSERT(ex.peer() == Peer);
             return std::nullopt;
         }
     }
 
-    RoutingView reader;
+    RoutingView recipient;
     RoutingView newest;
     std::string change;
     std::string whole;
@@ -560,64 +560,64 @@
 
 } // namespace
 
-TEST_CASE("a change that was cut short, or that something follows, is an error that names the peer")
+TEST_CASE("a truncated change, or one with trailing bytes, is an error that names the peer")
 {
-    const Told told;
+    const SampleChange sample;
     CHECK(rc::check([&] {
-        std::string data = told.any();
+        std::string data = sample.any();
         const auto size = *rc::gen::inRange<std::size_t>(0, data.size());
-        RC_ASSERT_FALSE(told.apply(data.substr(0, size)).has_value());
+        RC_ASSERT_FALSE(sample.apply(data.substr(0, size)).has_value());
         data += *rc::gen::nonEmpty<std::string>();
-        RC_ASSERT_FALSE(told.apply(data).has_value());
+        RC_ASSERT_FALSE(sample.apply(data).has_value());
     }));
 }
 
-TEST_CASE("a change with flipped bits is an error, or one that flips nothing of what it says")
+TEST_CASE("a change with flipped bits is an error, or has the same content")
 {
-    const Told told;
+    const SampleChange sample;
     CHECK(rc::check([&] {
-        std::string data = told.any();
+        std::string data = sample.any();
         const auto flips = *rc::gen::inRange(1, 4);
         for (int n = 0; n < flips; ++n) {
             flipOne(data);
         }
-        const std::optional<RoutingView> view = told.apply(data);
-        RC_ASSERT(!view || isSame(*view, told.newest));
+        const std::optional<RoutingView> view = sample.apply(data);
+        RC_ASSERT(!view || isSame(*view, sample.newest));
     }));
 }
 
-TEST_CASE("bytes that were never a change are an error")
+TEST_CASE("random bytes are an error")
 {
-    const Told told;
+    const SampleChange sample;
     CHECK(rc::check([&] {
         const auto data = *rc::gen::arbitrary<std::string>();
-        RC_ASSERT_FALSE(told.apply(data).has_value());
+        RC_ASSERT_FALSE(sample.apply(data).has_value());
     }));
 }
 
-TEST_CASE("a change that was damaged before it was compressed never does harm")
+TEST_CASE("a change that was corrupted before compression is harmless")
 {
-    const Told told;
+    const SampleChange sample;
     CHECK(rc::check([&] {
-        std::string text = expanded(told.any());
+        std::string text = expanded(sample.any());
         const auto size = *rc::gen::inRange<std::size_t>(0, text.size());
-        RC_ASSERT_FALSE(told.apply(compressed(text.substr(0, size))).has_value());
+        RC_ASSERT_FALSE(sample.apply(compressed(text.substr(0, size))).has_value());
         const auto flips = *rc::gen::inRange(1, 4);
         for (int n = 0; n < flips; ++n) {
             flipOne(text);
         }
-        const std::optional<RoutingView> view = told.apply(compressed(text));
+        const std::optional<RoutingView> view = sample.apply(compressed(text));
         RC_ASSERT(!view || view->index > 0);
-        RC_ASSERT(isSame(told.reader, viewOf(1, tableOf(40, 1))));
+        RC_ASSERT(isSame(sample.recipient, viewOf(1, tableOf(40, 1))));
     }));
 }
 
-TEST_CASE("a change that says it has more than it holds takes no memory for it")
+TEST_CASE("a change that declares more elements than it holds allocates no memory for them")
 {
-    const Told told;
+    const SampleChange sample;
     // MessagePack: a list, and a map, of 2^32 - 1 elements that don't follow.
-    CHECK_FALSE(told.apply(compressed("\xdd\xff\xff\xff\xff")).has_value());
-    CHECK_FALSE(told.apply(compressed("\xdf\xff\xff\xff\xff")).has_value());
+    CHECK_FALSE(sample.apply(compressed("\xdd\xff\xff\xff\xff")).has_value());
+    CHECK_FALSE(sample.apply(compressed("\xdf\xff\xff\xff\xff")).has_value());
 }
 
 TEST_CASE("a change that expands to more than the longest message is an error that names the peer")
@@ -627,7 +627,7 @@
     REQUIRE(data.size() < 1024 * 1024);
     try {
         applyRoutingChanges({}, {data}, Peer);
-        FAIL("it was applied");
+        FAIL("the change was applied");
     } catch (const Error &ex) {
         CHECK(ex.peer() == Peer);
         CHECK(ex.reason().find("more than a message") != std::string::npos);
@@ -636,12 +636,12 @@
 
 TEST_CASE("a change that leads to no newer index is an error")
 {
-    const Told told;
+    const SampleChange sample;
     // MessagePack: a list without elements, of which all members keep their defaults.
-    CHECK_FALSE(told.apply(compressed("\x90")).has_value());
+    CHECK_FALSE(sample.apply(compressed("\x90")).has_value());
 }
 
-TEST_CASE("a route of a kind that is not known is an error that names the peer")
+TEST_CASE("a route of an unknown kind is an error that names the peer")
 {
     RouteTable table = tableOf(3);
     table.routes[1].kind = static_cast<RouteKind>(7);
@@ -649,7 +649,7 @@
     history.append(viewOf(1, std::move(table)));
     try {
         applyRoutingChanges({}, history.changesSince(0), Peer);
-        FAIL("it was applied");
+        FAIL("the change was applied");
     } catch (const Error &ex) {
         CHECK(ex.peer() == Peer);
         CHECK(ex.reason().find("route-1") != std::string::npos);
