--- a/include/pepperlug/Backpressure.h
+++ b/include/pepperlug/Backpressure.h
@@ -48,8 +48,8 @@
     std::optional<double> limitOf(const Incarnation &target) const;
     bool isLeaving(const Incarnation &target) const;
     /// Returns the reports that changed since a version, for a reader; with version 0 all of them.
-    std::vector<BackpressureReport> changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const;
-    bool hasChangedSince(std::uint64_t version, NewsReader reader) const;
+    std::vector<BackpressureReport> changedSince(std::uint64_t version, UpdateRecipient reader, TimePoint now) const;
+    bool hasChangedSince(std::uint64_t version, UpdateRecipient reader) const;
     std::uint64_t version() const;
     /// Returns the number of targets with an advertised limit.
     std::size_t limitedCount() const;
@@ -62,7 +62,7 @@
         TimePoint confirmedAt{}; ///< last answer that advertised it, or that showed it lifted
         unsigned answersWithoutLimit = 0; ///< in a row, sent late enough to lift it
         TimePoint reportedAt{}; ///< confirmedAt as last reported to other hosts
-        NewsMark changedAt;
+        ChangeVersions changedAt;
     };
 
     void setLimit(Entry &entry, std::optional<double> limit, TimePoint confirmedAt, TimePoint now);
@@ -74,7 +74,7 @@
     void markChanged(Entry &entry, bool isDirect);
 
     std::map<Incarnation, Entry> m_entries;
-    NewsVersions m_versions;
+    ChangeTracker m_versions;
 };
 
 } // namespace pepperlug::fleet
--- a/include/pepperlug/Quarantine.h
+++ b/include/pepperlug/Quarantine.h
@@ -87,8 +87,8 @@
     std::size_t crashCount(const std::string &digest) const;
     /// Returns the reports that changed since a version and concern a reader; with version 0 all that concern it.
     /// Control hosts receive all reports, entry hosts those of requests that are or were suspected.
-    std::vector<SuspectReport> changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const;
-    bool hasChangedSince(std::uint64_t version, NewsReader reader) const;
+    std::vector<SuspectReport> changedSince(std::uint64_t version, UpdateRecipient reader, TimePoint now) const;
+    bool hasChangedSince(std::uint64_t version, UpdateRecipient reader) const;
     std::uint64_t version() const;
     std::size_t size() const;
     /// Returns the number of quarantined requests.
@@ -104,7 +104,7 @@
         std::map<Incarnation, Crash> crashes;
         unsigned grantedProbes = 0;
         TimePoint newestProbeAt{};
-        NewsMark changedAt;
+        ChangeVersions changedAt;
         bool isReportedToEntryHosts = false; ///< stays set, so that they learn that it is free again
     };
 
@@ -119,7 +119,7 @@
 
     Duration m_firstProbeDelay;
     std::map<std::string, Suspect> m_suspects; ///< by digest
-    NewsVersions m_versions;
+    ChangeTracker m_versions;
     TimePoint m_nextExpiry{};
 };
 
--- a/lib/Backpressure/Backpressure.cpp
+++ b/lib/Backpressure/Backpressure.cpp
@@ -65,7 +65,7 @@
 void BackpressureTable::markChanged(Entry &entry, bool isDirect)
 {
     entry.reportedAt = entry.confirmedAt;
-    m_versions.note(entry.changedAt, isDirect, true);
+    m_versions.recordChange(entry.changedAt, isDirect, true);
 }
 
 bool BackpressureTable::recordSignal(const Incarnation &target, const BackpressureSignal &signal, TimePoint sentAt,
@@ -175,12 +175,12 @@
     return it != m_entries.end() && it->second.leavingSince.has_value();
 }
 
-std::vector<BackpressureReport> BackpressureTable::changedSince(std::uint64_t version, NewsReader reader,
+std::vector<BackpressureReport> BackpressureTable::changedSince(std::uint64_t version, UpdateRecipient reader,
                                                                 TimePoint now) const
 {
     std::vector<BackpressureReport> reports;
     for (const auto &[target, entry] : m_entries) {
-        if (version == 0 || entry.changedAt.newestFor(reader) > version) {
+        if (version == 0 || entry.changedAt.versionFor(reader) > version) {
             const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.confirmedAt);
             reports.push_back(
                 {target, entry.limit.has_value(), entry.limit.value_or(0), age, entry.leavingSince.has_value()});
@@ -189,7 +189,7 @@
     return reports;
 }
 
-bool BackpressureTable::hasChangedSince(std::uint64_t version, NewsReader reader) const
+bool BackpressureTable::hasChangedSince(std::uint64_t version, UpdateRecipient reader) const
 {
     return m_versions.hasChangedSince(version, reader);
 }
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -40,24 +40,24 @@
     if (self.role == HostRole::Control) {
         m_seenBy[self.peer] = ask.since;
         // Positions of an earlier life of this host mean nothing now.
-        m_confirmations.peerConfirmed(self.peer, isSameEpoch ? ask.confirmed : NewsPosition{});
+        m_confirmations.recordPeerConfirmation(self.peer, isSameEpoch ? ask.confirmed : UpdateVersions{});
         return;
     }
     if (self.presence == Presence::Gone) {
-        m_confirmations.followerLeft(self.id);
+        m_confirmations.removeFollower(self.id);
         return;
     }
-    const std::optional<NewsConfirmations::Follower> before = m_confirmations.follower(self.id);
-    if (before && now - before->askedAt > m_settings.newsLease) {
+    const std::optional<UpdateConfirmations::Follower> before = m_confirmations.follower(self.id);
+    if (before && now - before->polledAt > m_settings.newsLease) {
         // It was not waited for meanwhile, but may have gone on by what it knew.
         m_metrics.count("pepperlug_followers_out_of_lease");
         m_events.state("follower-was-late",
                        {{"host", self.id},
-                        {"silent_ms", std::chrono::duration_cast<Milliseconds>(now - before->askedAt).count()},
-                        {"had_routing", before->has.routing},
+                        {"silent_ms", std::chrono::duration_cast<Milliseconds>(now - before->polledAt).count()},
+                        {"had_routing", before->applied.routingIndex},
                         {"has_routing", ask.routingIndex}});
     }
-    m_confirmations.followerHas(self.id, {ask.since, std::max(ask.routingIndex, ask.confirmed.routing)}, now);
+    m_confirmations.recordPoll(self.id, {ask.since, std::max(ask.routingIndex, ask.confirmed.routingIndex)}, now);
 }
 
 // An entry host that has nothing, and no fetch on its way from another control host: it begins with the reply to this
@@ -73,10 +73,10 @@
     nlohmann::json hosts = nlohmann::json::array();
     for (const std::string &name : firstOf(names)) {
         nlohmann::json host{{"host", name}};
-        if (const std::optional<NewsConfirmations::Follower> follower = m_confirmations.follower(name)) {
-            host["routing"] = follower->has.routing;
-            host["reports"] = follower->has.reports;
-            host["asked_ms_ago"] = std::chrono::duration_cast<Milliseconds>(now - follower->askedAt).count();
+        if (const std::optional<UpdateConfirmations::Follower> follower = m_confirmations.follower(name)) {
+            host["routing"] = follower->applied.routingIndex;
+            host["reports"] = follower->applied.registryVersion;
+            host["asked_ms_ago"] = std::chrono::duration_cast<Milliseconds>(now - follower->polledAt).count();
         }
         hosts.push_back(std::move(host));
     }
@@ -100,14 +100,14 @@
         const std::lock_guard lock(m_mutex);
         const bool isSameEpoch = confirmation.epoch == m_epoch;
         if (isSameEpoch && isNewestOf(confirmation.peer, confirmation.host, confirmation.sequence)) {
-            m_confirmations.peerConfirmed(confirmation.peer, confirmation.upTo);
+            m_confirmations.recordPeerConfirmation(confirmation.peer, confirmation.upTo);
             settle(m_clock.now());
         }
     }
     call->reply(Ok, "");
 }
 
-void RegistryDaemon::Impl::oweConfirmation(const std::optional<Address> &to, NewsPosition position)
+void RegistryDaemon::Impl::oweConfirmation(const std::optional<Address> &to, UpdateVersions position)
 {
     if (to && *to != m_settings.peer) {
         m_owed.push_back({*to, position, m_clock.now() + 2 * m_settings.newsLease});
@@ -139,7 +139,7 @@
     std::vector<std::string> hosts;
     for (const auto &[id, entry] : m_registry.hosts()) {
         const HostReport &host = entry.report;
-        const bool mayBeFollowed = now - entry.heardAt <= m_settings.newsLease + SelfReportInterval;
+        const bool mayBeFollowed = now - entry.receivedAt <= m_settings.newsLease + SelfReportInterval;
         if (host.role == HostRole::Control && host.id != m_incarnation && mayBeFollowed) {
             hosts.push_back(host.peer);
         }
@@ -161,22 +161,23 @@
     return !m_wasCurrent && now - m_notCurrentSince > m_settings.newsLease;
 }
 
-NewsPosition RegistryDaemon::Impl::confirmedTo(const Address &to, const std::string &epoch) const
+UpdateVersions RegistryDaemon::Impl::confirmedTo(const Address &to, const std::string &epoch) const
 {
     const TimePoint now = m_clock.now();
     if (isFollowedByNobody(now)) {
-        return NewsPosition::everything();
+        return UpdateVersions::max();
     }
-    return knowsFollowers(now) ? m_confirmations.confirmedTo(to.text(), epoch, m_routing.index(), now) : NewsPosition{};
+    return knowsFollowers(now) ? m_confirmations.versionsConfirmedTo(to.text(), epoch, m_routing.index(), now)
+                               : UpdateVersions{};
 }
 
 // Names of hosts that may still act upon older news; empty if a position holds everywhere.
-std::vector<std::string> RegistryDaemon::Impl::unconfirmed(NewsPosition position, TimePoint now) const
+std::vector<std::string> RegistryDaemon::Impl::unconfirmed(UpdateVersions position, TimePoint now) const
 {
     if (!knowsFollowers(now)) {
         return {m_settings.name};
     }
-    return m_confirmations.missing(position, followedControlHosts(now), now);
+    return m_confirmations.unconfirmedHosts(position, followedControlHosts(now), now);
 }
 
 void RegistryDaemon::Impl::settle(TimePoint now)
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -134,7 +134,7 @@
 
 void RegistryDaemon::Impl::remember(TimePoint now)
 {
-    if (m_remembered && now - m_startedAt > RememberedTime) {
+    if (m_remembered && now - m_startedAt > RestoredTargetLifetime) {
         m_remembered.reset();
     }
     // Sums move all the time; they are worth a write of the file only where a limit binds, or did when it was written.
@@ -152,7 +152,7 @@
     m_rememberedLoads = m_quotas.version();
     m_remembersLimits = m_quotas.isLimiting();
     Remembered remembered = rememberedOf(m_routing, m_registry);
-    remembered.suspects = m_quarantine.changedSince(0, NewsReader::ControlHost, now);
+    remembered.suspects = m_quarantine.changedSince(0, UpdateRecipient::ControlHost, now);
     remembered.loads = m_quotas.loads();
     m_writer->post([this, remembered = std::move(remembered)] {
         try {
@@ -183,7 +183,7 @@
     }
     m_nextSelfReport = now + SelfReportInterval;
     m_registry.receive(selfReport(), now);
-    m_confirmations.forget(followedControlHosts(now), now);
+    m_confirmations.removeExpired(followedControlHosts(now), now);
 }
 
 void RegistryDaemon::Impl::expire(TimePoint now)
@@ -346,7 +346,7 @@
         return;
     }
     const RoutingView &view = m_history.view();
-    m_hasHomes = view.table && view.table->hasHomes();
+    m_hasHomes = view.table && view.table->hasHomeRegions();
 }
 
 void RegistryDaemon::Impl::statusChanged(const ControlLogStatus &status)
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -15,9 +15,9 @@
 /// was met, departures of targets wait 16 ms behind them, less than for the next tick of their host.
 constexpr std::size_t ShortChanges = 8 * 1024;
 
-NewsReader readerOf(const FleetWatchCall &ask)
+UpdateRecipient readerOf(const FleetWatchCall &ask)
 {
-    return ask.self.role == HostRole::Entry ? NewsReader::EntryHost : NewsReader::ControlHost;
+    return ask.self.role == HostRole::Entry ? UpdateRecipient::EntryHost : UpdateRecipient::ControlHost;
 }
 
 } // namespace
@@ -99,7 +99,7 @@
     } else if (isLivingEntry) {
         // An ask that comes after a later one, over a connection that was slow, says nothing of what the host has now;
         // nor does a sign of life of one that waits for its first reply.
-        m_confirmations.followerLives(ask.self.id, now);
+        m_confirmations.renewFollowerLease(ask.self.id, now);
     }
     return heard;
 }
@@ -157,7 +157,7 @@
     FleetRoutingReply reply;
     {
         const std::lock_guard lock(m_mutex);
-        reply.changes = historyFor(ask.index == 0).since(ask.index);
+        reply.changes = historyFor(ask.index == 0).changesSince(ask.index);
     }
     std::string body = encode(reply);
     m_metrics.count("pepperlug_news_bytes{to=\"entry\"}", body.size());
@@ -183,7 +183,7 @@
     reply.version = m_registry.version();
     reply.isCurrent = !m_isLeaving && m_log->status().isCurrent(now);
     const bool isControl = call.self.role == HostRole::Control;
-    reply.changes = isControl ? m_registry.heardSince(call.since, now) : m_registry.changedSince(call.since, now);
+    reply.changes = isControl ? m_registry.receivedSince(call.since, now) : m_registry.changedSince(call.since, now);
     reply.isWhole = call.since == 0;
     reply.suspects = answerNews(call.suspects, m_quarantine, readerOf(call), now);
     reply.backpressure = answerNews(call.backpressure, m_backpressure, readerOf(call), now);
@@ -201,7 +201,7 @@
     }
     const RoutingHistory &history = historyFor(knowsNothing);
     reply.routingIndex = history.index();
-    std::vector<std::string> changes = history.since(call.routingIndex);
+    std::vector<std::string> changes = history.changesSince(call.routingIndex);
     const auto addSize = [](std::size_t sum, const std::string &it) {
         return sum + it.size();
     };
@@ -222,7 +222,7 @@
         }
         const FleetWatchReply news = makeReply(watcher.ask, now);
         if (watcher.beginsHere) {
-            m_confirmations.followerIsTold(watcher.ask.self.id, {news.version, news.routingIndex});
+            m_confirmations.recordFirstReply(watcher.ask.self.id, {news.version, news.routingIndex});
         }
         std::string reply = encode(news);
         m_metrics.count(isEntry ? "pepperlug_news_bytes{to=\"entry\"}" : "pepperlug_news_bytes{to=\"control\"}",
@@ -241,7 +241,7 @@
         isAllKnown = m_registry.merge(reply.changes, now);
         if (isAllKnown) {
             // Followers are told of changes alone, so what they have to come to is the newest of these.
-            m_confirmations.merged(receipt.from.text(), reply.epoch, reply.version, m_registry.changedVersion());
+            m_confirmations.recordMerge(receipt.from.text(), reply.epoch, reply.version, m_registry.changedVersion());
         }
         hearSuspects(reply.suspects.reports, false, now);
         hearBackpressure(reply.backpressure.reports, false, now);
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -238,7 +238,7 @@
         ++load.hosts;
         load.linkUse += (host.report->linkUse - load.linkUse) / load.hosts;
     }
-    m_shares.follow(regions, now);
+    m_shares.update(regions, now);
 }
 
 // A host that has just started has heard of a part of the entry hosts only, and would let too much pass.
@@ -274,12 +274,12 @@
         // region, with requests that have their home there, until they ask again.
         return knowsFollowers(m_clock.now()) ? liveEntryHosts({}) : std::vector<std::string>{};
     }
-    const GuestShare guests = m_shares.guestsOf(region);
+    const RedirectedShare guests = m_shares.redirectedFrom(region);
     // Callers of routes with home regions may not be sent elsewhere.
-    if (guests.part <= 0 || m_hasHomes) {
+    if (guests.fraction <= 0 || m_hasHomes) {
         return hosts;
     }
-    const double wanted = static_cast<double>(hosts.size()) * guests.part / (1 - guests.part);
+    const double wanted = static_cast<double>(hosts.size()) * guests.fraction / (1 - guests.fraction);
     std::vector<std::string> others = liveEntryHosts(guests.region);
     // In an order that differs from zone to zone, so that the guests of several zones do not meet at the same few
     // hosts.
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -118,7 +118,7 @@
 void Quarantine::markChanged(Suspect &suspect, bool isDirect)
 {
     suspect.isReportedToEntryHosts |= countedCrashes(suspect) >= CrashesToSuspect;
-    m_versions.note(suspect.changedAt, isDirect, suspect.isReportedToEntryHosts);
+    m_versions.recordChange(suspect.changedAt, isDirect, suspect.isReportedToEntryHosts);
 }
 
 Quarantine::Suspect &Quarantine::findOrAddSuspect(const std::string &digest)
@@ -260,12 +260,12 @@
     return it == m_suspects.end() ? 0 : countedCrashes(it->second);
 }
 
-std::vector<SuspectReport> Quarantine::changedSince(std::uint64_t version, NewsReader reader, TimePoint now) const
+std::vector<SuspectReport> Quarantine::changedSince(std::uint64_t version, UpdateRecipient reader, TimePoint now) const
 {
     std::vector<SuspectReport> reports;
     for (const auto &[digest, suspect] : m_suspects) {
-        const bool isFullReport = version == 0 && reader == NewsReader::ControlHost;
-        if (!isFullReport && suspect.changedAt.newestFor(reader) <= version) {
+        const bool isFullReport = version == 0 && reader == UpdateRecipient::ControlHost;
+        if (!isFullReport && suspect.changedAt.versionFor(reader) <= version) {
             continue;
         }
         SuspectReport report{digest, {}, suspect.grantedProbes, ageOf(suspect.newestProbeAt, now)};
@@ -277,7 +277,7 @@
     return reports;
 }
 
-bool Quarantine::hasChangedSince(std::uint64_t version, NewsReader reader) const
+bool Quarantine::hasChangedSince(std::uint64_t version, UpdateRecipient reader) const
 {
     return m_versions.hasChangedSince(version, reader);
 }
--- a/lib/Quota/QuotaShares.cpp
+++ b/lib/Quota/QuotaShares.cpp
@@ -18,7 +18,7 @@
 {
 
 /// Time without contact to a control host with a majority after which this host uses its own share alone.
-constexpr Duration ContactTimeout = CutOffLeases * NewsLease;
+constexpr Duration ContactTimeout = LeasesUntilIsolated * UpdateLease;
 /// Reported demand is updated when it differs by this fraction of itself, and by the second one of the tenant's limit.
 constexpr double DemandTolerance = 0.25;
 constexpr double LimitTolerance = 0.003;
--- a/unittests/Backpressure/BackpressureTableTest.cpp
+++ b/unittests/Backpressure/BackpressureTableTest.cpp
@@ -28,7 +28,7 @@
 
 std::vector<BackpressureReport> allReports(const BackpressureTable &table, TimePoint now)
 {
-    return table.changedSince(0, NewsReader::ControlHost, now);
+    return table.changedSince(0, UpdateRecipient::ControlHost, now);
 }
 
 } // namespace
@@ -96,13 +96,13 @@
         CHECK(control.merge(it, true, Start + 20ms));
         CHECK_FALSE(control.merge(it, true, Start + 20ms));
     }
-    const auto reports = control.changedSince(0, NewsReader::EntryHost, Start + 30ms);
+    const auto reports = control.changedSince(0, UpdateRecipient::EntryHost, Start + 30ms);
     REQUIRE(reports.size() == 1);
     CHECK(second.merge(reports.front(), false, Start + 40ms));
     CHECK(second.limitOf(Target) == 2.0);
     // An entry host doesn't report what it received from others.
-    CHECK_FALSE(second.hasChangedSince(0, NewsReader::ControlHost));
-    CHECK(control.hasChangedSince(0, NewsReader::ControlHost));
+    CHECK_FALSE(second.hasChangedSince(0, UpdateRecipient::ControlHost));
+    CHECK(control.hasChangedSince(0, UpdateRecipient::ControlHost));
 
     recordSignal(second, {}, Start + 2s);
     CHECK(recordSignal(second, {}, Start + 3s));
@@ -134,7 +134,7 @@
     CHECK_FALSE(recordSignal(table, signalWithLimit(2), Start + 1s));
     CHECK(table.version() == reportedVersion);
     CHECK_FALSE(recordSignal(table, signalWithLimit(2.1), Start + 6s));
-    CHECK(table.hasChangedSince(reportedVersion, NewsReader::ControlHost));
+    CHECK(table.hasChangedSince(reportedVersion, UpdateRecipient::ControlHost));
     CHECK(table.removeExpired(Start + 30s).empty());
     CHECK(table.removeExpired(Start + 40s) == std::vector<Incarnation>{Target});
     CHECK_FALSE(table.limitOf(Target));
--- a/unittests/EndingRequests/SpreadTest.cpp
+++ b/unittests/EndingRequests/SpreadTest.cpp
@@ -319,13 +319,13 @@
         Entry &entry = m_entries[n];
         Control &to = m_controls[control];
         const Quarantine &own = entry.balancer->quarantine();
-        for (const SuspectReport &it :
-             own.changedSince(knownVersion(entry.reported[control], to.incarnation), NewsReader::ControlHost, m_now)) {
+        for (const SuspectReport &it : own.changedSince(knownVersion(entry.reported[control], to.incarnation),
+                                                        UpdateRecipient::ControlHost, m_now)) {
             to.quarantine.merge(it, true, m_now);
         }
         entry.reported[control] = {to.incarnation, own.version()};
         SuspectsTold suspects{to.quarantine.changedSince(knownVersion(entry.received[control], to.incarnation),
-                                                         NewsReader::EntryHost, m_now)};
+                                                         UpdateRecipient::EntryHost, m_now)};
         entry.received[control] = {to.incarnation, to.quarantine.version()};
         reduce(n, suspects);
     }
@@ -334,8 +334,8 @@
     {
         const Control &peer = m_controls[from];
         auto &received = m_controls[n].received[from];
-        for (const SuspectReport &it :
-             peer.quarantine.changedSince(knownVersion(received, peer.incarnation), NewsReader::ControlHost, m_now)) {
+        for (const SuspectReport &it : peer.quarantine.changedSince(knownVersion(received, peer.incarnation),
+                                                                    UpdateRecipient::ControlHost, m_now)) {
             m_controls[n].quarantine.merge(it, false, m_now);
         }
         received = {peer.incarnation, peer.quarantine.version()};
@@ -350,7 +350,7 @@
         control.received.clear();
         ++control.incarnation;
         if (keepsStored) {
-            for (const SuspectReport &it : stored.changedSince(0, NewsReader::ControlHost, m_now)) {
+            for (const SuspectReport &it : stored.changedSince(0, UpdateRecipient::ControlHost, m_now)) {
                 control.quarantine.merge(it, false, m_now);
             }
         }
--- a/unittests/InForce/AcknowledgedTest.cpp
+++ b/unittests/InForce/AcknowledgedTest.cpp
@@ -27,7 +27,7 @@
 
 TEST_CASE("a removed route is not served once the removal is acknowledged, however late the update")
 {
-    ServingSystem serving(ControlLink::Proxied, NewsLease, AcknowledgeTimeout);
+    ServingSystem serving(ControlLink::Proxied, UpdateLease, AcknowledgeTimeout);
     REQUIRE(serving.statusOf("/p/x") == 200);
     serving.system.proxy->narrow(SlowLinkRate);
     serving.system.putTable("r3", "r2", incompressiblePrefixes(ManyRoutes));
--- a/unittests/InForce/OvertakenAskTest.cpp
+++ b/unittests/InForce/OvertakenAskTest.cpp
@@ -57,7 +57,7 @@
         poll.self.peer = m_self.text();
         poll.self.sequence = ++m_sequence;
         poll.epoch = m_epoch;
-        poll.confirmed = NewsPosition::everything();
+        poll.confirmed = UpdateVersions::max();
         const PeerReply reply = call(fleet::path::FleetWatch, encode(poll));
         REQUIRE(reply.delivered);
         m_epoch = decode<FleetWatchReply>(reply.body, "test").epoch;
--- a/unittests/InForce/RoutesChangeTest.cpp
+++ b/unittests/InForce/RoutesChangeTest.cpp
@@ -171,7 +171,7 @@
     const RequestId waiting = host.request("/once/x");
     const TimePoint learnedAt = host.now;
     host.reduce(NewsReceived{host.now, learnedAt});
-    host.now += NewsLease;
+    host.now += UpdateLease;
     host.reduce(BalanceTick{});
     CHECK_FALSE(host.balancer.isSuspended());
     CHECK(host.balancer.maySend(waiting, 1));
@@ -211,7 +211,7 @@
     SECTION("it is cut off, so no host waits for it")
     {
         host.reduce(NewsReceived{host.now, learnedAt});
-        host.now += 2 * NewsLease;
+        host.now += 2 * UpdateLease;
         host.reduce(BalanceTick{});
         REQUIRE(host.balancer.isSuspended());
         host.now += 1ms;
@@ -235,7 +235,7 @@
     {
     }
     host.reduce(update);
-    host.now += 10 * NewsLease;
+    host.now += 10 * UpdateLease;
     host.reduce(BalanceTick{});
     CHECK_FALSE(host.balancer.isSuspended());
     host.request("/read/x");
--- a/unittests/InForce/WithoutMajorityTest.cpp
+++ b/unittests/InForce/WithoutMajorityTest.cpp
@@ -43,7 +43,7 @@
     SilentPeer &operator=(const SilentPeer &) = delete;
 
     /// Returns what each received poll reported as confirmed.
-    std::vector<NewsPosition> confirmed() const
+    std::vector<UpdateVersions> confirmed() const
     {
         const std::lock_guard lock(m_mutex);
         return m_confirmed;
@@ -51,7 +51,7 @@
 
 private:
     mutable std::mutex m_mutex;
-    std::vector<NewsPosition> m_confirmed;
+    std::vector<UpdateVersions> m_confirmed;
     PeerNet m_net;
 };
 
@@ -79,8 +79,8 @@
     {
         const RegistryDaemon registry(settings, clock, controlDialect<platform::Control>());
         REQUIRE(System::eventually([&] { return !peer.confirmed().empty(); }));
-        CHECK(peer.confirmed().front() == NewsPosition{}); // some hosts may use its earlier state
-        CHECK(System::eventually([&] { return peer.confirmed().back() == NewsPosition::everything(); }));
+        CHECK(peer.confirmed().front() == UpdateVersions{}); // some hosts may use its earlier state
+        CHECK(System::eventually([&] { return peer.confirmed().back() == UpdateVersions::max(); }));
     }
     std::filesystem::remove_all(folder);
 }
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -33,7 +33,7 @@
 /// Merges all reports of one host into the table of another.
 void mergeAll(const Quarantine &from, Quarantine &to, TimePoint now = Start)
 {
-    for (const SuspectReport &it : from.changedSince(0, NewsReader::ControlHost, now)) {
+    for (const SuspectReport &it : from.changedSince(0, UpdateRecipient::ControlHost, now)) {
         to.merge(it, false, now);
     }
 }
@@ -112,7 +112,7 @@
 
 TEST_CASE("entry hosts receive suspected requests, also when they are free again; control hosts receive what they lack")
 {
-    using Reader = NewsReader;
+    using Reader = UpdateRecipient;
     Quarantine quarantine = quarantineWithCrashes(1);
     CHECK(quarantine.changedSince(0, Reader::EntryHost, Start).empty());
     CHECK(quarantine.changedSince(0, Reader::ControlHost, Start).size() == 1);
@@ -183,7 +183,7 @@
     for (unsigned n = 0; n < 100; ++n) {
         quarantine.recordCrash(Digest, target(n), Start + 1s);
     }
-    const auto reports = quarantine.changedSince(0, NewsReader::ControlHost, Start + 1s);
+    const auto reports = quarantine.changedSince(0, UpdateRecipient::ControlHost, Start + 1s);
     for (const SuspectReport &it : reports) {
         CHECK(it.crashes.size() <= 16);
     }
--- a/unittests/Quota/QuotaNetwork.h
+++ b/unittests/Quota/QuotaNetwork.h
@@ -322,7 +322,7 @@
 
     void updateAggregator(Control &control)
     {
-        if (m_now - control.startedAt <= NewsLease && control.startedAt > m_start) {
+        if (m_now - control.startedAt <= UpdateLease && control.startedAt > m_start) {
             return; // it may have received reports of only some hosts
         }
         std::unordered_map<std::uint64_t, double> demand;
