--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -63,7 +63,7 @@
 //===-- What callers and targets speak ----------------------------------------===//
 
 /// What an entry host reads in a caller's request.
-struct CallerTerms {
+struct CallerRequestFields {
     std::string requestId; ///< empty: none was given
     std::string host;
     std::string path;
@@ -104,7 +104,7 @@
 {
     {
         T::readRequest(request)
-        } -> std::same_as<CallerTerms>;
+        } -> std::same_as<CallerRequestFields>;
     {
         T::targetHeaders(headers, terms)
         } -> std::same_as<std::vector<HeaderField>>;
@@ -124,7 +124,7 @@
 
 /// The functions of a dialect, for code that is compiled once.
 struct CallerDialectTable {
-    CallerTerms (*readRequest)(const HttpRequest &request);
+    CallerRequestFields (*readRequest)(const HttpRequest &request);
     /// Headers for a target: the caller's, and those of the terms.
     std::vector<HeaderField> (*targetHeaders)(const std::vector<HeaderField> &headers, const TargetTerms &terms);
     /// Whether the head of an answer belongs to the request with this id.
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -41,7 +41,7 @@
     /// A caller's request until it is answered.
     struct OpenExchange {
         HttpExchangePtr exchange;
-        CallerTerms terms;
+        CallerRequestFields terms;
         std::string digest; ///< the same for each try of the same request
         TimePoint arrivedAt{};
         std::shared_ptr<const std::string> body;
--- a/unittests/Platform/DialectTest.cpp
+++ b/unittests/Platform/DialectTest.cpp
@@ -242,7 +242,7 @@
                   {"X-Request-Id", "q1"},
                   {"Cookie", "a=b; X-Affinity-Key=17; c=d"},
                   {"X-Deadline-Ms", "2500"}};
-    const CallerTerms terms = Clients::readRequest(it);
+    const CallerRequestFields terms = Clients::readRequest(it);
     CHECK(terms.requestId == "q1");
     CHECK(terms.path == "/p/x");
     CHECK(terms.affinityKey == "17");
