--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -74,7 +74,7 @@
 };
 
 /// What a request tells a target besides what its caller sent.
-struct TargetTerms {
+struct TargetRequestFields {
     std::string target; ///< incarnation that is meant
     Duration timeLeft{};
     bool hasTenants = false; ///< the caller's key and what it says of its tenant are left out
@@ -100,7 +100,7 @@
 template <typename T>
 concept CallerDialect = requires(const HttpRequest &request, const Answer &answer,
                                  const std::vector<HeaderField> &headers, const std::string &text,
-                                 const TargetTerms &terms, const RefusalTerms &refusal)
+                                 const TargetRequestFields &terms, const RefusalTerms &refusal)
 {
     {
         T::readRequest(request)
@@ -126,7 +126,8 @@
 struct CallerDialectTable {
     CallerRequestFields (*readRequest)(const HttpRequest &request);
     /// Headers for a target: the caller's, and those of the terms.
-    std::vector<HeaderField> (*targetHeaders)(const std::vector<HeaderField> &headers, const TargetTerms &terms);
+    std::vector<HeaderField> (*targetHeaders)(const std::vector<HeaderField> &headers,
+                                              const TargetRequestFields &terms);
     /// Whether the head of an answer belongs to the request with this id.
     bool (*answersRequest)(const std::vector<HeaderField> &headers, const std::string &requestId);
     AnswerTerms (*readAnswer)(const Answer &answer);
