--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -82,7 +82,7 @@
 };
 
 /// What the head and status of a target's answer say.
-struct AnswerTerms {
+struct AnswerFields {
     bool isExecuted = true; ///< the target does not say that it left the request alone
     bool isWrongTarget = false; ///< another incarnation is at the address
     bool isComplete = true; ///< bears what every answer must bear
@@ -113,7 +113,7 @@
         } -> std::same_as<bool>;
     {
         T::readAnswer(answer)
-        } -> std::same_as<AnswerTerms>;
+        } -> std::same_as<AnswerFields>;
     {
         T::refusal(refusal)
         } -> std::same_as<Answer>;
@@ -130,7 +130,7 @@
                                               const TargetRequestFields &terms);
     /// Whether the head of an answer belongs to the request with this id.
     bool (*answersRequest)(const std::vector<HeaderField> &headers, const std::string &requestId);
-    AnswerTerms (*readAnswer)(const Answer &answer);
+    AnswerFields (*readAnswer)(const Answer &answer);
     Answer (*refusal)(const RefusalTerms &terms);
     bool (*isReadinessCheck)(const HttpRequest &request);
 };
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -92,7 +92,7 @@
 
     // GatewayBackpressure.cpp
     void describeBackpressure(FleetWatchCall &call, const std::string &epoch);
-    void onTargetSignal(const Incarnation &target, const AnswerTerms &terms, TimePoint sentAt);
+    void onTargetSignal(const Incarnation &target, const AnswerFields &terms, TimePoint sentAt);
     void carryOut(const RestBegun &effect);
     void carryOut(const BackpressureChanged &effect);
 
@@ -104,11 +104,11 @@
 
     // GatewayRequests.cpp
     void onHttp(const HttpExchangePtr &exchange);
-    bool onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerTerms &terms,
+    bool onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerFields &terms,
                        std::uint64_t length);
     void onAnswerPart(RequestId id, unsigned attempt, std::string_view part);
     /// `terms`: of the answer, if there is one.
-    void onAttemptEnded(RequestId id, unsigned attempt, const Incarnation &target, const AnswerTerms &terms,
+    void onAttemptEnded(RequestId id, unsigned attempt, const Incarnation &target, const AnswerFields &terms,
                         HttpResult result);
     void reduce(const BalanceEvent &event);
     /// Null if it has ended; the mutex is held.
@@ -121,7 +121,7 @@
     void carryOut(const RefuseRequest &effect);
     /// Counts what an answer asks for, and returns it for a line.
     nlohmann::json countSignal(const BackpressureSignal &signal);
-    AttemptEnded readResult(RequestId id, unsigned attempt, const AnswerTerms &terms, HttpResult &result);
+    AttemptEnded readResult(RequestId id, unsigned attempt, const AnswerFields &terms, HttpResult &result);
 
     FleetSettings m_settings;
     const Clock &m_clock;
--- a/lib/Fleet/GatewayRequests.cpp
+++ b/lib/Fleet/GatewayRequests.cpp
@@ -108,7 +108,7 @@
     const Incarnation target{effect.target, effect.targetStartedAt};
     const TimePoint sentAt = m_clock.now();
     call.onLargeHead = [this, id, attempt, target, sentAt](const Answer &head, std::uint64_t length) {
-        const AnswerTerms terms = m_dialect.readAnswer(head);
+        const AnswerFields terms = m_dialect.readAnswer(head);
         onTargetSignal(target, terms, sentAt);
         return onAnswerBegun(id, attempt, head, terms, length);
     };
@@ -134,7 +134,7 @@
                        {"view_age_ms", viewAge().count()},
                        {"time_left_ms", std::chrono::duration_cast<Milliseconds>(effect.timeLeft).count()}});
     open.calls[attempt] = m_client->start(std::move(call), [this, id, attempt, target, sentAt](HttpResult result) {
-        AnswerTerms terms;
+        AnswerFields terms;
         if (result.kind == HttpResult::Kind::Answered) {
             terms = m_dialect.readAnswer(result.answer);
             onTargetSignal(target, terms, sentAt);
@@ -157,7 +157,7 @@
 }
 
 // Only an answer that would be passed on whole is begun; all others come whole first.
-bool GatewayDaemon::Impl::onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerTerms &terms,
+bool GatewayDaemon::Impl::onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerFields &terms,
                                         std::uint64_t length)
 {
     if (terms.isWrongTarget || !terms.isExecuted || !terms.isComplete) {
@@ -187,7 +187,7 @@
     }
 }
 
-AttemptEnded GatewayDaemon::Impl::readResult(RequestId id, unsigned attempt, const AnswerTerms &terms,
+AttemptEnded GatewayDaemon::Impl::readResult(RequestId id, unsigned attempt, const AnswerFields &terms,
                                              HttpResult &result)
 {
     AttemptEnded ended{id, attempt, AttemptOutcome::Lost, {}, 0};
@@ -215,7 +215,7 @@
 }
 
 void GatewayDaemon::Impl::onAttemptEnded(RequestId id, unsigned attempt, const Incarnation &target,
-                                         const AnswerTerms &terms, HttpResult result)
+                                         const AnswerFields &terms, HttpResult result)
 {
     AttemptEnded ended = readResult(id, attempt, terms, result);
     {
