--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -91,7 +91,7 @@
 };
 
 /// An answer of our own.
-struct RefusalTerms {
+struct RefusalFields {
     std::string requestId;
     Refusal reason{};
     Milliseconds retryAfter{};
@@ -100,7 +100,7 @@
 template <typename T>
 concept CallerDialect = requires(const HttpRequest &request, const Answer &answer,
                                  const std::vector<HeaderField> &headers, const std::string &text,
-                                 const TargetRequestFields &terms, const RefusalTerms &refusal)
+                                 const TargetRequestFields &terms, const RefusalFields &refusal)
 {
     {
         T::readRequest(request)
@@ -131,7 +131,7 @@
     /// Whether the head of an answer belongs to the request with this id.
     bool (*answersRequest)(const std::vector<HeaderField> &headers, const std::string &requestId);
     AnswerFields (*readAnswer)(const Answer &answer);
-    Answer (*refusal)(const RefusalTerms &terms);
+    Answer (*refusal)(const RefusalFields &terms);
     bool (*isReadinessCheck)(const HttpRequest &request);
 };
 
