--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -85,7 +85,7 @@
 struct AnswerFields {
     bool isExecuted = true; ///< the target does not say that it left the request alone
     bool isWrongTarget = false; ///< another incarnation is at the address
-    bool isComplete = true; ///< bears what every answer must bear
+    bool hasRequiredFields = true; ///< bears what every answer must bear
     std::optional<TargetLoad> load;
     BackpressureSignal backpressure;
 };
--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -37,7 +37,7 @@
 // Only what certainly comes from the target: another incarnation may have its address.
 void GatewayDaemon::Impl::onTargetSignal(const Incarnation &target, const AnswerFields &terms, TimePoint sentAt)
 {
-    if (!terms.isWrongTarget && (terms.isComplete || !terms.isExecuted)) {
+    if (!terms.isWrongTarget && (terms.hasRequiredFields || !terms.isExecuted)) {
         reduce(TargetSignalled{target, terms.backpressure, sentAt});
     }
 }
--- a/lib/Fleet/GatewayRequests.cpp
+++ b/lib/Fleet/GatewayRequests.cpp
@@ -160,7 +160,7 @@
 bool GatewayDaemon::Impl::onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerFields &terms,
                                         std::uint64_t length)
 {
-    if (terms.isWrongTarget || !terms.isExecuted || !terms.isComplete) {
+    if (terms.isWrongTarget || !terms.isExecuted || !terms.hasRequiredFields) {
         return false;
     }
     {
@@ -204,7 +204,7 @@
         ended.outcome = AttemptOutcome::WrongTarget;
     } else if (!terms.isExecuted) {
         ended.outcome = AttemptOutcome::Shed;
-    } else if (!terms.isComplete) {
+    } else if (!terms.hasRequiredFields) {
         result.reason = "the answer lacks what a target's answer bears";
         ended.outcome = AttemptOutcome::Lost;
     } else {
--- a/unittests/Platform/DialectTest.cpp
+++ b/unittests/Platform/DialectTest.cpp
@@ -371,12 +371,12 @@
     CHECK_FALSE(Clients::answersRequest({}, "q1"));
     const AnswerFields good = Clients::readAnswer({200, {{"X-Upstream-Seal", "s"}, {"X-Upstream-Load", "3,1,8"}}, {}});
     CHECK(good.isExecuted);
-    CHECK(good.isComplete);
+    CHECK(good.hasRequiredFields);
     CHECK(good.load->waiting == 1);
     CHECK(good.load->slots == 8);
     CHECK_FALSE(Clients::readAnswer({503, {{"X-Not-Executed", "full"}}, {}}).isExecuted);
     CHECK(Clients::readAnswer({421, {}, {}}).isWrongTarget);
-    CHECK_FALSE(Clients::readAnswer({200, {}, {}}).isComplete);
+    CHECK_FALSE(Clients::readAnswer({200, {}, {}}).hasRequiredFields);
     CHECK_FALSE(Clients::readAnswer({200, {{"X-Upstream-Load", "3,x,8"}}, {}}).load);
 }
 
