--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -143,7 +143,7 @@
 
 //===-- What targets and operators say to control hosts ------------------------===//
 
-struct TargetSays {
+struct ReportTarget {
     TargetReport report; ///< with presence Gone only the id and the start count
 };
 
@@ -170,7 +170,7 @@
     std::string reason;
 };
 
-using ControlRequest = std::variant<TargetSays, PutTable, GetTable, SetEvacuation, FindEntryHosts, UnknownCall>;
+using ControlRequest = std::variant<ReportTarget, PutTable, GetTable, SetEvacuation, FindEntryHosts, UnknownCall>;
 
 /// How a control host answers.
 enum class ControlAnswer : std::uint8_t {
--- a/lib/Fleet/RegistryImpl.h
+++ b/lib/Fleet/RegistryImpl.h
@@ -95,7 +95,7 @@
 
     // RegistryRequests.cpp
     void onHttp(const HttpExchangePtr &exchange);
-    void answer(const HttpExchangePtr &exchange, const TargetSays &request);
+    void answer(const HttpExchangePtr &exchange, const ReportTarget &request);
     void answer(const HttpExchangePtr &exchange, const PutTable &request);
     void answer(const HttpExchangePtr &exchange, const GetTable &request);
     void answer(const HttpExchangePtr &exchange, const SetEvacuation &request);
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -57,7 +57,7 @@
     return report.presence == Presence::Ready && !isKnownTarget && table && table->service(report.service) == nullptr;
 }
 
-void RegistryDaemon::Impl::answer(const HttpExchangePtr &exchange, const TargetSays &request)
+void RegistryDaemon::Impl::answer(const HttpExchangePtr &exchange, const ReportTarget &request)
 {
     const TimePoint now = m_clock.now();
     const bool isDeparture = request.report.presence != Presence::Ready;
--- a/unittests/Platform/DialectTest.cpp
+++ b/unittests/Platform/DialectTest.cpp
@@ -74,12 +74,12 @@
     const std::string body = R"({"service":"s","addr":"10.0.0.9:80","zone":"z","version":"v1","slots":3,)"
                              R"("state":"draining","coldLeftS":1.5,"seq":4})";
     const auto beat =
-        std::get<TargetSays>(Control::readControlRequest(request("POST", "/api/Instances.Heartbeat/i-1", body)));
+        std::get<ReportTarget>(Control::readControlRequest(request("POST", "/api/Instances.Heartbeat/i-1", body)));
     CHECK(beat.report.id == "i-1");
     CHECK(beat.report.presence == Presence::Draining);
     CHECK(beat.report.coldLeft == 1500ms);
     CHECK(beat.report.sequence == 4);
-    const auto leave = std::get<TargetSays>(Control::readControlRequest(request("POST", "/api/Instances.Leave/i-1")));
+    const auto leave = std::get<ReportTarget>(Control::readControlRequest(request("POST", "/api/Instances.Leave/i-1")));
     CHECK(leave.report.presence == Presence::Gone);
     const auto bad = Control::readControlRequest(request("POST", "/api/Instances.Heartbeat/i-1", "{"));
     CHECK(std::get<UnknownCall>(bad).isKnownPath);
@@ -90,9 +90,9 @@
     const std::string body = R"({"service":"s","addr":"10.0.0.9:80","zone":"z","version":"v1","slots":3,)"
                              R"("state":"ready","coldLeftS":0,"seq":4,"born":1760000000123})";
     const auto beat =
-        std::get<TargetSays>(Control::readControlRequest(request("POST", "/api/Instances.Heartbeat/i-1", body)));
+        std::get<ReportTarget>(Control::readControlRequest(request("POST", "/api/Instances.Heartbeat/i-1", body)));
     CHECK(beat.report.startedAt == 1760000000123ms);
-    const auto leave = std::get<TargetSays>(
+    const auto leave = std::get<ReportTarget>(
         Control::readControlRequest(request("POST", "/api/Instances.Leave/i-1", R"({"born":1760000000123})")));
     CHECK(leave.report.startedAt == 1760000000123ms);
     CHECK(leave.report.presence == Presence::Gone);
@@ -106,7 +106,7 @@
     const auto read = [](const std::string &id, const std::string &body) {
         return Control::readControlRequest(request("POST", "/api/Instances.Heartbeat/" + id, body));
     };
-    REQUIRE(std::holds_alternative<TargetSays>(read("i-1", good.dump())));
+    REQUIRE(std::holds_alternative<ReportTarget>(read("i-1", good.dump())));
     struct Case {
         const char *field;
         nlohmann::json value; ///< null: the field is missing
@@ -190,7 +190,7 @@
         body.resize(*rc::gen::inRange<std::size_t>(0, good.size() + 1));
         const ControlRequest result =
             Control::readControlRequest(request("POST", "/api/Instances.Heartbeat/i-1", body));
-        const auto *says = std::get_if<TargetSays>(&result);
+        const auto *says = std::get_if<ReportTarget>(&result);
         const bool isRead = says != nullptr;
         const bool isSound = isRead && says->report.coldLeft >= 0ms && Address::parse(says->report.address);
         const bool isRefused = std::holds_alternative<UnknownCall>(result);
