--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -177,7 +177,7 @@
     Done,
     Conflict, ///< another version is in force
     Invalid, ///< with findings
-    Elsewhere, ///< with the address of the control host to ask
+    Redirect, ///< with the address of the control host to ask
     Unavailable, ///< can't be promised now
     Unknown, ///< no such call
 };
