--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -20,7 +20,7 @@
 
 /// Bounds that a deployment sets.
 struct FleetBounds {
-    Duration grace = std::chrono::seconds(6); ///< from SIGTERM to the end
+    Duration gracePeriod = std::chrono::seconds(6); ///< from SIGTERM to the end
     Duration acknowledge = std::chrono::seconds(4); ///< in which operators expect an answer
     RetryTerms retries;
     QuotaTerms quotas;
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -381,7 +381,7 @@
     }
     m_callersServer->closeAfterAnswers();
     m_watch->hurry();
-    const TimePoint last = begun + m_settings.bounds.grace - GraceReserve;
+    const TimePoint last = begun + m_settings.bounds.gracePeriod - GraceReserve;
     for (;;) {
         std::this_thread::sleep_for(TickInterval);
         const TimePoint now = m_clock.now();
--- a/lib/Fleet/Settings.cpp
+++ b/lib/Fleet/Settings.cpp
@@ -26,7 +26,7 @@
 FleetBounds readBounds(ObjectReader &reader)
 {
     FleetBounds bounds;
-    bounds.grace = readSeconds(reader, "grace_s", 6);
+    bounds.gracePeriod = readSeconds(reader, "grace_s", 6);
     bounds.acknowledge = readSeconds(reader, "acknowledge_s", 4);
     bounds.retries.ratio = reader.number("retry_ratio", 0, 10, 0.1);
     bounds.retries.window = readSeconds(reader, "retry_window_s", 10);
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -213,7 +213,7 @@
         FleetSettings settings;
         settings.zone = "z1";
         settings.regionOfZone = {{"z1", "r1"}, {"z2", "r2"}};
-        settings.bounds.grace = 5s;
+        settings.bounds.gracePeriod = 5s;
         settings.bounds.retries = {0.2, 10s, 40};
         settings.bounds.acknowledge = acknowledge;
         settings.newsLease = newsLease;
