--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -21,7 +21,7 @@
 /// Bounds that a deployment sets.
 struct FleetBounds {
     Duration gracePeriod = std::chrono::seconds(6); ///< from SIGTERM to the end
-    Duration acknowledge = std::chrono::seconds(4); ///< in which operators expect an answer
+    Duration acknowledgeTimeout = std::chrono::seconds(4); ///< in which operators expect an answer
     RetryTerms retries;
     QuotaTerms quotas;
     double maxShift = 0.15;
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -229,7 +229,7 @@
 {
     const TimePoint now = m_clock.now();
     const std::lock_guard lock(m_mutex);
-    const auto patience = std::chrono::duration_cast<Duration>(m_settings.bounds.acknowledge * ConfirmPart);
+    const auto patience = std::chrono::duration_cast<Duration>(m_settings.bounds.acknowledgeTimeout * ConfirmPart);
     m_changes.push_back({exchange, subject, isAgain, m_routing.index(), now, now + patience});
     settleChanges(now);
 }
--- a/lib/Fleet/Settings.cpp
+++ b/lib/Fleet/Settings.cpp
@@ -27,7 +27,7 @@
 {
     FleetBounds bounds;
     bounds.gracePeriod = readSeconds(reader, "grace_s", 6);
-    bounds.acknowledge = readSeconds(reader, "acknowledge_s", 4);
+    bounds.acknowledgeTimeout = readSeconds(reader, "acknowledge_s", 4);
     bounds.retries.ratio = reader.number("retry_ratio", 0, 10, 0.1);
     bounds.retries.window = readSeconds(reader, "retry_window_s", 10);
     bounds.retries.slack = reader.number("retry_slack", 0, 1e6, 10);
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -203,10 +203,10 @@
 class System
 {
 public:
-    /// `acknowledge`: in what time operators expect an answer. By default one that no test waits for, since a machine
-    /// that is busy may hold a host up.
+    /// `acknowledgeTimeout`: in what time operators expect an answer. By default one that no test waits for, since a
+    /// machine that is busy may hold a host up.
     explicit System(ControlLink link = ControlLink::Direct, Duration newsLease = 2 * Patience,
-                    Duration acknowledge = 2 * Patience, Duration firstTrialPause = FirstTrialPause)
+                    Duration acknowledgeTimeout = 2 * Patience, Duration firstTrialPause = FirstTrialPause)
         : m_folder(std::filesystem::temp_directory_path() / ("pepperlug-fleet-" + randomHex(8)))
     {
         std::filesystem::create_directories(m_folder);
@@ -215,7 +215,7 @@
         settings.regionOfZone = {{"z1", "r1"}, {"z2", "r2"}};
         settings.bounds.gracePeriod = 5s;
         settings.bounds.retries = {0.2, 10s, 40};
-        settings.bounds.acknowledge = acknowledge;
+        settings.bounds.acknowledgeTimeout = acknowledgeTimeout;
         settings.newsLease = newsLease;
         settings.firstTrialPause = firstTrialPause;
         settings.maxBodyBytes = 1 << 20;
@@ -420,8 +420,8 @@
 /// A system with a configuration and one target, once it serves.
 struct ServingSystem {
     explicit ServingSystem(ControlLink link = ControlLink::Direct, Duration newsLease = 2 * Patience,
-                           Duration acknowledge = 2 * Patience)
-        : system(link, newsLease, acknowledge)
+                           Duration acknowledgeTimeout = 2 * Patience)
+        : system(link, newsLease, acknowledgeTimeout)
     {
         system.putTable("r2", "0");
         system.beat("i-1", target, 1);
