--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -38,7 +38,7 @@
     Address metrics; ///< where the figures are served
     std::vector<Address> seeds; ///< operators' addresses of some control hosts
     FleetBounds bounds;
-    Duration newsLease = NewsLease; ///< the same at all hosts
+    Duration updateLease = NewsLease; ///< the same at all hosts
     Duration firstTrialPause = FirstTrialPause; ///< the same at all hosts
     unsigned logLinesPerSecond = 0;
     // Entry hosts.
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -48,7 +48,7 @@
         return;
     }
     const std::optional<NewsConfirmations::Follower> before = m_confirmations.follower(self.id);
-    if (before && now - before->askedAt > m_settings.newsLease) {
+    if (before && now - before->askedAt > m_settings.updateLease) {
         // It was not waited for meanwhile, but may have gone on by what it knew.
         m_metrics.count("pepperlug_followers_out_of_lease");
         m_events.state("follower-was-late",
@@ -110,7 +110,7 @@
 void RegistryDaemon::Impl::oweConfirmation(const std::optional<Address> &to, NewsPosition position)
 {
     if (to && *to != m_settings.peer) {
-        m_owed.push_back({*to, position, m_clock.now() + 2 * m_settings.newsLease});
+        m_owed.push_back({*to, position, m_clock.now() + 2 * m_settings.updateLease});
     }
 }
 
@@ -139,7 +139,7 @@
     std::vector<std::string> hosts;
     for (const auto &[id, entry] : m_registry.hosts()) {
         const HostReport &host = entry.report;
-        const bool mayBeFollowed = now - entry.heardAt <= m_settings.newsLease + SelfReportInterval;
+        const bool mayBeFollowed = now - entry.heardAt <= m_settings.updateLease + SelfReportInterval;
         if (host.role == HostRole::Control && host.id != m_incarnation && mayBeFollowed) {
             hosts.push_back(host.peer);
         }
@@ -151,14 +151,14 @@
 // former life may not have asked it again before.
 bool RegistryDaemon::Impl::knowsFollowers(TimePoint now) const
 {
-    return m_settings.isFirstStart || now - m_startedAt > m_settings.newsLease;
+    return m_settings.isFirstStart || now - m_startedAt > m_settings.updateLease;
 }
 
 // Entry hosts that ask a control host which has no majority, or lacks what was agreed on, are told at once to ask
 // another one. A lease later none goes by what this one knows, so nobody has to wait until it has caught up.
 bool RegistryDaemon::Impl::isFollowedByNobody(TimePoint now) const
 {
-    return !m_wasCurrent && now - m_notCurrentSince > m_settings.newsLease;
+    return !m_wasCurrent && now - m_notCurrentSince > m_settings.updateLease;
 }
 
 NewsPosition RegistryDaemon::Impl::confirmedTo(const Address &to, const std::string &epoch) const
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -205,7 +205,7 @@
 public:
     /// `acknowledgeTimeout`: in what time operators expect an answer. By default one that no test waits for, since a
     /// machine that is busy may hold a host up.
-    explicit System(ControlLink link = ControlLink::Direct, Duration newsLease = 2 * Patience,
+    explicit System(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * Patience,
                     Duration acknowledgeTimeout = 2 * Patience, Duration firstTrialPause = FirstTrialPause)
         : m_folder(std::filesystem::temp_directory_path() / ("pepperlug-fleet-" + randomHex(8)))
     {
@@ -216,7 +216,7 @@
         settings.bounds.gracePeriod = 5s;
         settings.bounds.retries = {0.2, 10s, 40};
         settings.bounds.acknowledgeTimeout = acknowledgeTimeout;
-        settings.newsLease = newsLease;
+        settings.updateLease = updateLease;
         settings.firstTrialPause = firstTrialPause;
         settings.maxBodyBytes = 1 << 20;
         settings.maxAnswerBytes = 1 << 20;
@@ -419,9 +419,9 @@
 
 /// A system with a configuration and one target, once it serves.
 struct ServingSystem {
-    explicit ServingSystem(ControlLink link = ControlLink::Direct, Duration newsLease = 2 * Patience,
+    explicit ServingSystem(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * Patience,
                            Duration acknowledgeTimeout = 2 * Patience)
-        : system(link, newsLease, acknowledgeTimeout)
+        : system(link, updateLease, acknowledgeTimeout)
     {
         system.putTable("r2", "0");
         system.beat("i-1", target, 1);
