--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -39,7 +39,7 @@
     std::vector<Address> seeds; ///< operators' addresses of some control hosts
     FleetBounds bounds;
     Duration updateLease = NewsLease; ///< the same at all hosts
-    Duration firstTrialPause = FirstTrialPause; ///< the same at all hosts
+    Duration firstProbePause = FirstTrialPause; ///< the same at all hosts
     unsigned logLinesPerSecond = 0;
     // Entry hosts.
     Address callers;
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -48,7 +48,7 @@
     balance.linkBytesPerSecond = settings.linkBytesPerSecond;
     balance.seed = hash64(incarnation);
     balance.newsLease = settings.updateLease;
-    balance.firstTrialPause = settings.firstTrialPause;
+    balance.firstTrialPause = settings.firstProbePause;
     balance.policy = settings.policy;
     return balance;
 }
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -59,7 +59,7 @@
     , m_events(m_settings.name, clock, m_settings.logLinesPerSecond)
     , m_epoch(randomHex(IncarnationBytes))
     , m_incarnation(m_settings.name + "#" + m_epoch)
-    , m_quarantine(m_settings.firstTrialPause)
+    , m_quarantine(m_settings.firstProbePause)
     , m_confirmations(m_settings.updateLease)
     , m_startedAt(clock.now())
     , m_notCurrentSince(m_startedAt)
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -206,7 +206,7 @@
     /// `acknowledgeTimeout`: in what time operators expect an answer. By default one that no test waits for, since a
     /// machine that is busy may hold a host up.
     explicit System(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * Patience,
-                    Duration acknowledgeTimeout = 2 * Patience, Duration firstTrialPause = FirstTrialPause)
+                    Duration acknowledgeTimeout = 2 * Patience, Duration firstProbePause = FirstTrialPause)
         : m_folder(std::filesystem::temp_directory_path() / ("pepperlug-fleet-" + randomHex(8)))
     {
         std::filesystem::create_directories(m_folder);
@@ -217,7 +217,7 @@
         settings.bounds.retries = {0.2, 10s, 40};
         settings.bounds.acknowledgeTimeout = acknowledgeTimeout;
         settings.updateLease = updateLease;
-        settings.firstTrialPause = firstTrialPause;
+        settings.firstProbePause = firstProbePause;
         settings.maxBodyBytes = 1 << 20;
         settings.maxAnswerBytes = 1 << 20;
         FleetSettings &control = m_control;
