--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -11,7 +11,7 @@
 constexpr const char *FleetRouting = "/fleet/routing";
 constexpr const char *FleetAlive = "/fleet/alive";
 constexpr const char *FleetConfirm = "/fleet/confirm";
-constexpr const char *FleetTrial = "/fleet/trial";
+constexpr const char *FleetProbe = "/fleet/trial";
 constexpr const char *FleetJoin = "/fleet/join";
 constexpr const char *FleetControlHosts = "/fleet/control-hosts";
 } // namespace pepperlug::fleet::path
@@ -79,14 +79,14 @@
                    suspects, backpressure, loadsVersion, loads);
 };
 
-/// Body of path::FleetTrial: may a request that is shut out be tried once? The leading control host decides.
+/// Body of path::FleetProbe: may a request that is shut out be tried once? The leading control host decides.
 struct FleetTrialCall {
     std::string digest;
     bool isForwarded = false; ///< by a control host that does not lead
     MSGPACK_DEFINE(digest, isForwarded);
 };
 
-/// Reply to path::FleetTrial.
+/// Reply to path::FleetProbe.
 struct FleetTrialReply {
     bool isGranted = false;
     MSGPACK_DEFINE(isGranted);
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -31,7 +31,7 @@
                                                              {path::FleetConfirm, &Impl::onConfirm},
                                                              {path::FleetRouting, &Impl::onRouting},
                                                              {path::FleetControlHosts, &Impl::onControlHosts},
-                                                             {path::FleetTrial, &Impl::onTrial},
+                                                             {path::FleetProbe, &Impl::onTrial},
                                                              {path::FleetJoin, &Impl::onJoin}};
         const auto it = Handlers.find(call->path());
         if (it != Handlers.end()) {
--- a/lib/Fleet/RegistrySuspects.cpp
+++ b/lib/Fleet/RegistrySuspects.cpp
@@ -52,7 +52,7 @@
         return;
     }
     ask.isForwarded = true;
-    m_net.call(*leader, path::FleetTrial, encode(ask), ForwardTimeout, [call](const PeerReply &reply) {
+    m_net.call(*leader, path::FleetProbe, encode(ask), ForwardTimeout, [call](const PeerReply &reply) {
         const auto decided = readReply<FleetTrialReply>(reply, "leading control host");
         call->reply(Ok, encode(decided.message.value_or(FleetTrialReply{})));
     });
