--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -80,7 +80,7 @@
 };
 
 /// Body of path::FleetProbe: may a request that is shut out be tried once? The leading control host decides.
-struct FleetTrialCall {
+struct FleetProbeCall {
     std::string digest;
     bool isForwarded = false; ///< by a control host that does not lead
     MSGPACK_DEFINE(digest, isForwarded);
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -52,7 +52,7 @@
 // A host that serves has its routes from a control host, so one has replied.
 void GatewayDaemon::Impl::carryOut(const AskTrial &effect)
 {
-    m_net.call(m_followed, path::FleetProbe, encode(FleetTrialCall{effect.digest}), TrialTimeout,
+    m_net.call(m_followed, path::FleetProbe, encode(FleetProbeCall{effect.digest}), TrialTimeout,
                [this, effect](const PeerReply &reply) {
                    const auto [decided, reason] = readReply<FleetTrialReply>(reply, "control host");
                    const bool isGranted = decided && decided->isGranted;
--- a/lib/Fleet/RegistrySuspects.cpp
+++ b/lib/Fleet/RegistrySuspects.cpp
@@ -32,7 +32,7 @@
 
 void RegistryDaemon::Impl::onTrial(const IncomingCallPtr &call)
 {
-    auto ask = decode<FleetTrialCall>(call->body(), call->peer());
+    auto ask = decode<FleetProbeCall>(call->body(), call->peer());
     const ControlLogStatus status = m_log->status();
     const TimePoint now = m_clock.now();
     if (status.role == ControlRole::Leader) {
