--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -87,7 +87,7 @@
 };
 
 /// Reply to path::FleetProbe.
-struct FleetTrialReply {
+struct FleetProbeReply {
     bool isGranted = false;
     MSGPACK_DEFINE(isGranted);
 };
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -54,7 +54,7 @@
 {
     m_net.call(m_followed, path::FleetProbe, encode(FleetProbeCall{effect.digest}), TrialTimeout,
                [this, effect](const PeerReply &reply) {
-                   const auto [decided, reason] = readReply<FleetTrialReply>(reply, "control host");
+                   const auto [decided, reason] = readReply<FleetProbeReply>(reply, "control host");
                    const bool isGranted = decided && decided->isGranted;
                    m_events.state("trial", {{"digest", effect.digest}, {"granted", isGranted}, {"reason", reason}});
                    reduce(TrialDecided{effect.id, isGranted});
--- a/lib/Fleet/RegistrySuspects.cpp
+++ b/lib/Fleet/RegistrySuspects.cpp
@@ -36,7 +36,7 @@
     const ControlLogStatus status = m_log->status();
     const TimePoint now = m_clock.now();
     if (status.role == ControlRole::Leader) {
-        FleetTrialReply reply;
+        FleetProbeReply reply;
         {
             const std::lock_guard lock(m_mutex);
             reply.isGranted = status.canRead(now) && m_quarantine.grantTrial(ask.digest, now);
@@ -48,13 +48,13 @@
     }
     const std::optional<Address> leader = Address::parse(status.leader);
     if (ask.isForwarded || !leader) {
-        call->reply(Ok, encode(FleetTrialReply{}));
+        call->reply(Ok, encode(FleetProbeReply{}));
         return;
     }
     ask.isForwarded = true;
     m_net.call(*leader, path::FleetProbe, encode(ask), ForwardTimeout, [call](const PeerReply &reply) {
-        const auto decided = readReply<FleetTrialReply>(reply, "leading control host");
-        call->reply(Ok, encode(decided.message.value_or(FleetTrialReply{})));
+        const auto decided = readReply<FleetProbeReply>(reply, "leading control host");
+        call->reply(Ok, encode(decided.message.value_or(FleetProbeReply{})));
     });
 }
 
