--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -21,7 +21,7 @@
 
 /// What a host tells another one from a table that hosts keep together, and asks of the other one's.
 template <typename Report>
-struct NewsOffer {
+struct UpdateOffer {
     std::uint64_t since = 0; ///< version of the asked host's table that the asker has
     /// By an entry host: what it noticed since it was told that the asked host has the rest; all that it knows where
     /// the asked host has nothing of it yet.
@@ -30,12 +30,12 @@
     MSGPACK_DEFINE(since, reports, upTo);
 };
 
-/// What is replied to a NewsOffer.
+/// What is replied to a UpdateOffer.
 template <typename Report>
 struct NewsAnswer {
-    std::vector<Report> reports; ///< that changed since NewsOffer::since
+    std::vector<Report> reports; ///< that changed since UpdateOffer::since
     std::uint64_t version = 0; ///< of the told host's table
-    std::uint64_t heard = 0; ///< NewsOffer::upTo of the ask
+    std::uint64_t heard = 0; ///< UpdateOffer::upTo of the ask
     MSGPACK_DEFINE(reports, version, heard);
 };
 
@@ -51,8 +51,8 @@
     /// By a control host: news of the asked host that it and all its followers have. By an entry host: the log index
     /// such that it decides nothing by an older routing.
     NewsPosition confirmed;
-    NewsOffer<SuspectReport> suspects; ///< requests under which targets ended
-    NewsOffer<BackpressureReport> backpressure; ///< what targets ask for in their answers
+    UpdateOffer<SuspectReport> suspects; ///< requests under which targets ended
+    UpdateOffer<BackpressureReport> backpressure; ///< what targets ask for in their answers
     std::uint64_t loadsSince = 0; ///< version of the asked host's QuotaSums that the asker has
     MSGPACK_DEFINE(self, epoch, since, routingIndex, routingHeard, patience, confirmed, suspects, backpressure,
                    loadsSince);
--- a/lib/Fleet/NewsExchange.h
+++ b/lib/Fleet/NewsExchange.h
@@ -20,7 +20,7 @@
 
 /// Fills in what an entry host tells the control host whose life the epoch names.
 template <typename Report, typename Table>
-void offerNews(NewsOffer<Report> &offer, const Table &table, const ToldVersion &told, const std::string &epoch,
+void offerNews(UpdateOffer<Report> &offer, const Table &table, const ToldVersion &told, const std::string &epoch,
                TimePoint now)
 {
     const bool hasHeard = !epoch.empty() && epoch == told.epoch;
@@ -30,7 +30,7 @@
 
 /// Takes the reports out of an offer, and from it what a control host's earlier life was told.
 template <typename Report>
-std::vector<Report> takeOffered(NewsOffer<Report> &offer, bool isSameEpoch, bool knowsNoEpoch)
+std::vector<Report> takeOffered(UpdateOffer<Report> &offer, bool isSameEpoch, bool knowsNoEpoch)
 {
     offer.since = isSameEpoch ? offer.since : 0;
     // An asker that knew an earlier life of this host may have left out what it told that one.
@@ -40,7 +40,7 @@
 
 /// What a control host replies.
 template <typename Report, typename Table>
-NewsAnswer<Report> answerNews(const NewsOffer<Report> &offer, const Table &table, NewsReader reader, TimePoint now)
+NewsAnswer<Report> answerNews(const UpdateOffer<Report> &offer, const Table &table, NewsReader reader, TimePoint now)
 {
     return {table.changedSince(offer.since, reader, now), table.version(), offer.upTo};
 }
