--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -32,7 +32,7 @@
 
 /// What is replied to a UpdateOffer.
 template <typename Report>
-struct NewsAnswer {
+struct UpdateReply {
     std::vector<Report> reports; ///< that changed since UpdateOffer::since
     std::uint64_t version = 0; ///< of the told host's table
     std::uint64_t heard = 0; ///< UpdateOffer::upTo of the ask
@@ -71,8 +71,8 @@
     /// For entry hosts that have an older one: what changed since, where it is short; a long one is asked for apart, so
     /// that nothing else queues behind it.
     std::vector<std::string> routingChanges;
-    NewsAnswer<SuspectReport> suspects;
-    NewsAnswer<BackpressureReport> backpressure;
+    UpdateReply<SuspectReport> suspects;
+    UpdateReply<BackpressureReport> backpressure;
     std::uint64_t loadsVersion = 0; ///< for entry hosts: version of the told host's QuotaSums
     std::vector<TenantLoad> loads; ///< for entry hosts: all of them, where the asker has another version
     MSGPACK_DEFINE(epoch, version, isCurrent, changes, isWhole, demand, remembered, routingIndex, routingChanges,
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -67,7 +67,7 @@
     void tellNews();
     /// Takes what a control host tells of a table that hosts keep together, as an event of the balancer.
     template <typename Event, typename Report>
-    void takeNews(const NewsAnswer<Report> &news, const std::string &epoch, ToldVersion &told)
+    void takeNews(const UpdateReply<Report> &news, const std::string &epoch, ToldVersion &told)
     {
         {
             const std::lock_guard lock(m_mutex);
--- a/lib/Fleet/NewsExchange.h
+++ b/lib/Fleet/NewsExchange.h
@@ -40,7 +40,7 @@
 
 /// What a control host replies.
 template <typename Report, typename Table>
-NewsAnswer<Report> answerNews(const UpdateOffer<Report> &offer, const Table &table, NewsReader reader, TimePoint now)
+UpdateReply<Report> answerNews(const UpdateOffer<Report> &offer, const Table &table, NewsReader reader, TimePoint now)
 {
     return {table.changedSince(offer.since, reader, now), table.version(), offer.upTo};
 }
