--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -26,8 +26,8 @@
     /// By an entry host: what it noticed since it was told that the asked host has the rest; all that it knows where
     /// the asked host has nothing of it yet.
     std::vector<Report> reports;
-    std::uint64_t upTo = 0; ///< version of the asker's table that the asked host has with them
-    MSGPACK_DEFINE(since, reports, upTo);
+    std::uint64_t version = 0; ///< version of the asker's table that the asked host has with them
+    MSGPACK_DEFINE(since, reports, version);
 };
 
 /// What is replied to a UpdateOffer.
@@ -35,7 +35,7 @@
 struct UpdateReply {
     std::vector<Report> reports; ///< that changed since UpdateOffer::since
     std::uint64_t version = 0; ///< of the told host's table
-    std::uint64_t heard = 0; ///< UpdateOffer::upTo of the ask
+    std::uint64_t heard = 0; ///< UpdateOffer::version of the ask
     MSGPACK_DEFINE(reports, version, heard);
 };
 
--- a/lib/Fleet/NewsExchange.h
+++ b/lib/Fleet/NewsExchange.h
@@ -25,7 +25,7 @@
 {
     const bool hasHeard = !epoch.empty() && epoch == told.epoch;
     offer.reports = table.changedSince(hasHeard ? told.version : 0, NewsReader::ControlHost, now);
-    offer.upTo = table.version();
+    offer.version = table.version();
 }
 
 /// Takes the reports out of an offer, and from it what a control host's earlier life was told.
@@ -34,7 +34,7 @@
 {
     offer.since = isSameEpoch ? offer.since : 0;
     // An asker that knew an earlier life of this host may have left out what it told that one.
-    offer.upTo = isSameEpoch || knowsNoEpoch ? offer.upTo : 0;
+    offer.version = isSameEpoch || knowsNoEpoch ? offer.version : 0;
     return std::exchange(offer.reports, {});
 }
 
@@ -42,7 +42,7 @@
 template <typename Report, typename Table>
 UpdateReply<Report> answerNews(const UpdateOffer<Report> &offer, const Table &table, NewsReader reader, TimePoint now)
 {
-    return {table.changedSince(offer.since, reader, now), table.version(), offer.upTo};
+    return {table.changedSince(offer.since, reader, now), table.version(), offer.version};
 }
 
 } // namespace pepperlug::fleet
