--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -35,8 +35,8 @@
 struct UpdateReply {
     std::vector<Report> reports; ///< that changed since UpdateOffer::since
     std::uint64_t version = 0; ///< of the told host's table
-    std::uint64_t heard = 0; ///< UpdateOffer::version of the ask
-    MSGPACK_DEFINE(reports, version, heard);
+    std::uint64_t acknowledged = 0; ///< UpdateOffer::version of the ask
+    MSGPACK_DEFINE(reports, version, acknowledged);
 };
 
 /// Body of path::FleetWatch: a host says that it lives and asks for what it has not got yet. Also of path::FleetAlive,
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -71,7 +71,7 @@
     {
         {
             const std::lock_guard lock(m_mutex);
-            told = {epoch, news.heard};
+            told = {epoch, news.acknowledged};
         }
         if (!news.reports.empty()) {
             reduce(Event{news.reports});
