--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -98,8 +98,8 @@
     std::string peer; ///< its address
     std::uint64_t sequence = 0; ///< one count with that of its reports
     std::string epoch; ///< of the registry that is confirmed
-    NewsPosition upTo;
-    MSGPACK_DEFINE(host, peer, sequence, epoch, upTo);
+    NewsPosition confirmed;
+    MSGPACK_DEFINE(host, peer, sequence, epoch, confirmed);
 };
 
 /// Body of path::FleetRouting: an entry host asks for what changed in the routing.
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -100,7 +100,7 @@
         const std::lock_guard lock(m_mutex);
         const bool isSameEpoch = confirmation.epoch == m_epoch;
         if (isSameEpoch && isNewestOf(confirmation.peer, confirmation.host, confirmation.sequence)) {
-            m_confirmations.peerConfirmed(confirmation.peer, confirmation.upTo);
+            m_confirmations.peerConfirmed(confirmation.peer, confirmation.confirmed);
             settle(m_clock.now());
         }
     }
