--- a/lib/Fleet/ControlWatch.cpp
+++ b/lib/Fleet/ControlWatch.cpp
@@ -111,7 +111,7 @@
     {
         const std::lock_guard lock(m_mutex);
         // What was lost may have been lost for a while: it is asked for without waiting.
-        call.patience = m_isLost ? Milliseconds(0) : m_patience;
+        call.maxWait = m_isLost ? Milliseconds(0) : m_patience;
         number = ++m_askNumber;
         m_askedAt = m_clock.now();
         m_signAt = m_askedAt;
--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -47,14 +47,14 @@
     std::uint64_t since = 0; ///< registry version that the asker has
     std::uint64_t routingIndex = 0; ///< log index of the routing that the asker has
     std::uint64_t routingHeard = 0; ///< of the newest routing that it has heard of; if later, it is being fetched
-    Milliseconds patience{}; ///< how long the reply may be held back
+    Milliseconds maxWait{}; ///< how long the reply may be held back
     /// By a control host: news of the asked host that it and all its followers have. By an entry host: the log index
     /// such that it decides nothing by an older routing.
     NewsPosition confirmed;
     UpdateOffer<SuspectReport> suspects; ///< requests under which targets ended
     UpdateOffer<BackpressureReport> backpressure; ///< what targets ask for in their answers
     std::uint64_t loadsSince = 0; ///< version of the asked host's QuotaSums that the asker has
-    MSGPACK_DEFINE(self, epoch, since, routingIndex, routingHeard, patience, confirmed, suspects, backpressure,
+    MSGPACK_DEFINE(self, epoch, since, routingIndex, routingHeard, maxWait, confirmed, suspects, backpressure,
                    loadsSince);
 };
 
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -126,7 +126,7 @@
     const TimePoint now = m_clock.now();
     const std::lock_guard lock(m_mutex);
     HeardAsk heard = hear(call, now);
-    const TimePoint until = now + heard.ask.patience;
+    const TimePoint until = now + heard.ask.maxWait;
     const bool beginsHere = heard.isNewest && hasNothing(heard.ask);
     m_watchers.push_back({call, std::move(heard.ask), until, beginsHere});
     replyWatchers(now);
--- a/unittests/LateNews/RoutingOnItsWayTest.cpp
+++ b/unittests/LateNews/RoutingOnItsWayTest.cpp
@@ -67,7 +67,7 @@
             ++asks;
             const auto ask = decode<FleetWatchCall>(call->body(), call->peer());
             const std::lock_guard lock(m_mutex);
-            m_held.push_back({call, ask, std::chrono::steady_clock::now() + ask.patience});
+            m_held.push_back({call, ask, std::chrono::steady_clock::now() + ask.maxWait});
             return;
         }
         if (call->path() == fleet::path::FleetRouting) {
