--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -46,7 +46,7 @@
     std::string epoch; ///< of the asked host's registry, as known to the asker; empty at first
     std::uint64_t since = 0; ///< registry version that the asker has
     std::uint64_t routingIndex = 0; ///< log index of the routing that the asker has
-    std::uint64_t routingHeard = 0; ///< of the newest routing that it has heard of; if later, it is being fetched
+    std::uint64_t newestRoutingIndex = 0; ///< of the newest routing that it has heard of; if later, it is being fetched
     Milliseconds maxWait{}; ///< how long the reply may be held back
     /// By a control host: news of the asked host that it and all its followers have. By an entry host: the log index
     /// such that it decides nothing by an older routing.
@@ -54,7 +54,7 @@
     UpdateOffer<SuspectReport> suspects; ///< requests under which targets ended
     UpdateOffer<BackpressureReport> backpressure; ///< what targets ask for in their answers
     std::uint64_t loadsSince = 0; ///< version of the asked host's QuotaSums that the asker has
-    MSGPACK_DEFINE(self, epoch, since, routingIndex, routingHeard, maxWait, confirmed, suspects, backpressure,
+    MSGPACK_DEFINE(self, epoch, since, routingIndex, newestRoutingIndex, maxWait, confirmed, suspects, backpressure,
                    loadsSince);
 };
 
--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -64,7 +64,7 @@
 // ask.
 bool RegistryDaemon::Impl::hasNothing(const FleetWatchCall &ask)
 {
-    return ask.self.role == HostRole::Entry && ask.since == 0 && ask.routingIndex == 0 && ask.routingHeard == 0;
+    return ask.self.role == HostRole::Entry && ask.since == 0 && ask.routingIndex == 0 && ask.newestRoutingIndex == 0;
 }
 
 // What the first few of those that are missing have, as far as this host knows, for a line of the log.
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -260,7 +260,7 @@
                     FleetWatchCall call;
                     call.self = selfReport();
                     call.routingIndex = m_routing.index();
-                    call.routingHeard = m_routing.index();
+                    call.newestRoutingIndex = m_routing.index();
                     call.confirmed = confirmedTo(to, epoch);
                     return call;
                 };
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -166,7 +166,7 @@
 
 bool RegistryDaemon::Impl::hasNews(const FleetWatchCall &call) const
 {
-    return call.since == 0 || m_registry.changedVersion() > call.since || m_history.index() > call.routingHeard
+    return call.since == 0 || m_registry.changedVersion() > call.since || m_history.index() > call.newestRoutingIndex
         || m_quarantine.hasChangedSince(call.suspects.since, readerOf(call))
         || m_backpressure.hasChangedSince(call.backpressure.since, readerOf(call)) || hasLoadsFor(call);
 }
--- a/unittests/InForce/OvertakenAskTest.cpp
+++ b/unittests/InForce/OvertakenAskTest.cpp
@@ -105,7 +105,7 @@
     FleetWatchCall heldUp;
     heldUp.self = entryHost(EarlierAsk);
     heldUp.routingIndex = 1;
-    heldUp.routingHeard = 1;
+    heldUp.newestRoutingIndex = 1;
     REQUIRE(other.call(fleet::path::FleetAlive, encode(heldUp)).delivered);
     serving.drainUntilAcknowledged();
 }
--- a/unittests/LateNews/RoutingOnItsWayTest.cpp
+++ b/unittests/LateNews/RoutingOnItsWayTest.cpp
@@ -89,7 +89,7 @@
             {
                 const std::lock_guard lock(m_mutex);
                 std::erase_if(m_held, [this](const Held &held) {
-                    const bool isNews = held.ask.since == 0 || held.ask.routingHeard < newestIndex;
+                    const bool isNews = held.ask.since == 0 || held.ask.newestRoutingIndex < newestIndex;
                     if (!isNews && std::chrono::steady_clock::now() < held.until) {
                         return false;
                     }
