--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -66,7 +66,7 @@
     RegistryChanges changes;
     bool isWhole = false; ///< `changes` holds all that the replying host knows
     std::vector<RegionDemand> demand; ///< for entry hosts: load of all regions
-    std::vector<TargetReport> remembered; ///< for entry hosts that know nothing: from before the told host's restart
+    std::vector<TargetReport> cachedTargets; ///< for entry hosts that know nothing: from before the told host's restart
     std::uint64_t routingIndex = 0; ///< for entry hosts: log index of the newest routing
     /// For entry hosts that have an older one: what changed since, where it is short; a long one is asked for apart, so
     /// that nothing else queues behind it.
@@ -75,7 +75,7 @@
     UpdateReply<BackpressureReport> backpressure;
     std::uint64_t loadsVersion = 0; ///< for entry hosts: version of the told host's QuotaSums
     std::vector<TenantLoad> loads; ///< for entry hosts: all of them, where the asker has another version
-    MSGPACK_DEFINE(epoch, version, isCurrent, changes, isWhole, demand, remembered, routingIndex, routingChanges,
+    MSGPACK_DEFINE(epoch, version, isCurrent, changes, isWhole, demand, cachedTargets, routingIndex, routingChanges,
                    suspects, backpressure, loadsVersion, loads);
 };
 
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -316,7 +316,7 @@
         }
     }
     if (!reply.changes.empty() || reply.isWhole || !reply.demand.empty()) {
-        reduce(ReportsChanged{reply.changes, reply.isWhole, reply.demand, reply.remembered});
+        reduce(ReportsChanged{reply.changes, reply.isWhole, reply.demand, reply.cachedTargets});
     }
     takeNews<SuspectsTold>(reply.suspects, reply.epoch, m_toldSuspects);
     takeNews<BackpressureTold>(reply.backpressure, reply.epoch, m_toldBackpressure);
