--- a/lib/Fleet/ControlLog.cpp
+++ b/lib/Fleet/ControlLog.cpp
@@ -220,7 +220,7 @@
     }
 }
 
-void ControlLog::end(std::uint64_t token, const ProposalFate &fate)
+void ControlLog::end(std::uint64_t token, const ProposalResult &fate)
 {
     FateHandler handler;
     {
--- a/lib/Fleet/ControlLog.h
+++ b/lib/Fleet/ControlLog.h
@@ -25,12 +25,12 @@
 };
 
 /// How a proposal ended.
-struct ProposalFate {
+struct ProposalResult {
     bool isDecided = false; ///< applied; `result` holds what the state machine returned
     std::string result;
     std::string leader; ///< name of the host to ask instead; empty if not known
 };
-using FateHandler = std::function<void(ProposalFate)>;
+using FateHandler = std::function<void(ProposalResult)>;
 
 /// What others may know of the log without waiting for its thread.
 struct ControlLogStatus {
@@ -94,7 +94,7 @@
     void carryOut(const CommandPlaced &effect);
     void carryOut(const CommandRejected &effect);
     void carryOut(const RoleChanged &effect);
-    void end(std::uint64_t token, const ProposalFate &fate);
+    void end(std::uint64_t token, const ProposalResult &fate);
     void publishStatus();
 
     struct Place {
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -156,7 +156,7 @@
             return;
         }
     }
-    m_log->propose(encode(command), [this, exchange, subject](const ProposalFate &fate) {
+    m_log->propose(encode(command), [this, exchange, subject](const ProposalResult &fate) {
         if (!fate.isDecided) {
             // It may be agreed on yet. The same change again, to whoever leads, is safe.
             m_events.decision("change-undecided", {{"change", subject}, {"leader", fate.leader}});
