--- a/lib/Fleet/ControlLog.cpp
+++ b/lib/Fleet/ControlLog.cpp
@@ -72,7 +72,7 @@
     }
 }
 
-void ControlLog::propose(std::string command, FateHandler handler)
+void ControlLog::propose(std::string command, ProposalHandler handler)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -222,7 +222,7 @@
 
 void ControlLog::end(std::uint64_t token, const ProposalResult &fate)
 {
-    FateHandler handler;
+    ProposalHandler handler;
     {
         const std::lock_guard lock(m_mutex);
         const auto it = m_waiting.find(token);
--- a/lib/Fleet/ControlLog.h
+++ b/lib/Fleet/ControlLog.h
@@ -30,7 +30,7 @@
     std::string result;
     std::string leader; ///< name of the host to ask instead; empty if not known
 };
-using FateHandler = std::function<void(ProposalResult)>;
+using ProposalHandler = std::function<void(ProposalResult)>;
 
 /// What others may know of the log without waiting for its thread.
 struct ControlLogStatus {
@@ -78,7 +78,7 @@
     void start();
     void stop();
     /// The handler is called once, unless the log stops first.
-    void propose(std::string command, FateHandler handler);
+    void propose(std::string command, ProposalHandler handler);
     void post(ControlEvent event);
     ControlLogStatus status() const;
     const std::string &diskId() const;
@@ -116,7 +116,7 @@
     mutable std::mutex m_mutex; ///< guards what follows
     std::condition_variable m_wake;
     std::vector<ControlEvent> m_queue;
-    std::map<std::uint64_t, FateHandler> m_waiting; ///< by token
+    std::map<std::uint64_t, ProposalHandler> m_waiting; ///< by token
     std::uint64_t m_lastToken = 0;
     bool m_stop = false;
     ControlLogStatus m_status;
