--- a/lib/Fleet/ControlLog.h
+++ b/lib/Fleet/ControlLog.h
@@ -26,7 +26,7 @@
 
 /// How a proposal ended.
 struct ProposalResult {
-    bool isDecided = false; ///< applied; `result` holds what the state machine returned
+    bool isApplied = false; ///< applied; `result` holds what the state machine returned
     std::string result;
     std::string leader; ///< name of the host to ask instead; empty if not known
 };
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -157,7 +157,7 @@
         }
     }
     m_log->propose(encode(command), [this, exchange, subject](const ProposalResult &fate) {
-        if (!fate.isDecided) {
+        if (!fate.isApplied) {
             // It may be agreed on yet. The same change again, to whoever leads, is safe.
             m_events.decision("change-undecided", {{"change", subject}, {"leader", fate.leader}});
             exchange->respond(m_dialect.controlAnswer(ControlAnswer::Unavailable, "not decided; send it again"));
