--- a/lib/Fleet/ControlLog.cpp
+++ b/lib/Fleet/ControlLog.cpp
@@ -27,7 +27,7 @@
     , m_clock(clock)
     , m_client(client)
     , m_folder(m_settings.dataFolder)
-    , m_diskId(m_folder.diskId(m_settings.isFounder))
+    , m_diskId(m_folder.diskId(m_settings.isInitialMember))
     , m_store(m_folder)
 {
 }
--- a/lib/Fleet/ControlLog.h
+++ b/lib/Fleet/ControlLog.h
@@ -16,7 +16,7 @@
     std::string name; ///< peer address of this host, which is its name among the members
     std::string zone;
     std::string dataFolder;
-    bool isFounder = false; ///< one of the first members, on its first start
+    bool isInitialMember = false; ///< one of the first members, on its first start
     std::vector<std::string> founders;
     Duration heartbeat = Milliseconds(150);
     Duration electionTimeout = Milliseconds(700);
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -45,7 +45,7 @@
     // The seeds of the first start found the group; all others join it.
     for (const Address &seed : settings.seeds) {
         log.founders.push_back(Address{seed.ip, settings.peer.port}.text());
-        log.isFounder |= settings.isFirstStart && seed == settings.operators;
+        log.isInitialMember |= settings.isFirstStart && seed == settings.operators;
     }
     return log;
 }
