--- a/lib/Fleet/ControlLog.cpp
+++ b/lib/Fleet/ControlLog.cpp
@@ -10,11 +10,11 @@
 constexpr Milliseconds TickInterval{30};
 constexpr const char *FoundingDisk = "initial";
 
-std::vector<ControlMember> foundingMembers(const std::vector<std::string> &founders)
+std::vector<ControlMember> foundingMembers(const std::vector<std::string> &initialMembers)
 {
     std::vector<ControlMember> members;
-    members.reserve(founders.size());
-    for (const std::string &name : founders) {
+    members.reserve(initialMembers.size());
+    for (const std::string &name : initialMembers) {
         members.push_back({name, FoundingDisk, true});
     }
     return members;
@@ -44,7 +44,7 @@
     consensus.diskId = m_diskId;
     // Whoever did not found the group learns its members from the log.
     if (m_diskId == FoundingDisk) {
-        consensus.members = foundingMembers(m_settings.founders);
+        consensus.members = foundingMembers(m_settings.initialMembers);
     }
     consensus.heartbeat = m_settings.heartbeat;
     consensus.electionTimeout = m_settings.electionTimeout;
--- a/lib/Fleet/ControlLog.h
+++ b/lib/Fleet/ControlLog.h
@@ -17,7 +17,7 @@
     std::string zone;
     std::string dataFolder;
     bool isInitialMember = false; ///< one of the first members, on its first start
-    std::vector<std::string> founders;
+    std::vector<std::string> initialMembers;
     Duration heartbeat = Milliseconds(150);
     Duration electionTimeout = Milliseconds(700);
     Duration replaceSilentAfter = Milliseconds(2500);
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -44,7 +44,7 @@
     log.dataFolder = settings.dataFolder;
     // The seeds of the first start found the group; all others join it.
     for (const Address &seed : settings.seeds) {
-        log.founders.push_back(Address{seed.ip, settings.peer.port}.text());
+        log.initialMembers.push_back(Address{seed.ip, settings.peer.port}.text());
         log.isInitialMember |= settings.isFirstStart && seed == settings.operators;
     }
     return log;
