--- a/lib/Fleet/ControlWatch.cpp
+++ b/lib/Fleet/ControlWatch.cpp
@@ -129,7 +129,7 @@
 {
     const auto [news, reason] = readReply<FleetWatchReply>(reply, from.text());
     bool linkChanged = false;
-    NewsReceipt receipt{from, {}, {}, reply.body.size()};
+    ReplyInfo receipt{from, {}, {}, reply.body.size()};
     {
         const std::lock_guard lock(m_mutex);
         if (number != m_askNumber) {
--- a/lib/Fleet/ControlWatch.h
+++ b/lib/Fleet/ControlWatch.h
@@ -15,7 +15,7 @@
 {
 
 /// How a reply came in.
-struct NewsReceipt {
+struct ReplyInfo {
     Address from;
     TimePoint askedAt{}; ///< what it does not tell may have happened since then
     Duration took{}; ///< from the ask to the reply, the time for which it was held back included
@@ -32,7 +32,7 @@
         std::function<std::vector<Address>()> candidates; ///< control hosts in the order of preference
         /// Takes a reply over; the next ask tells that it was. False: something in it needs all that the asked host
         /// knows.
-        std::function<bool(const NewsReceipt &receipt, const FleetWatchReply &reply)> onReply;
+        std::function<bool(const ReplyInfo &receipt, const FleetWatchReply &reply)> onReply;
         std::function<void(const Address &peer, bool isLost, const std::string &reason)> onLink;
     };
 
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -90,7 +90,7 @@
     hooks.candidates = [this] {
         return controlHosts();
     };
-    hooks.onReply = [this](const NewsReceipt &receipt, const FleetWatchReply &reply) {
+    hooks.onReply = [this](const ReplyInfo &receipt, const FleetWatchReply &reply) {
         onControlReply(receipt, reply);
         return true;
     };
@@ -268,7 +268,7 @@
     return m_viewAsOf ? std::chrono::duration_cast<Milliseconds>(m_clock.now() - *m_viewAsOf) : Milliseconds(-1);
 }
 
-void GatewayDaemon::Impl::logReply(const NewsReceipt &receipt, const FleetWatchReply &reply)
+void GatewayDaemon::Impl::logReply(const ReplyInfo &receipt, const FleetWatchReply &reply)
 {
     m_metrics.count("pepperlug_news_bytes{to=\"entry\"}", receipt.bytes);
     m_metrics.latency("pepperlug_news_seconds", receipt.took);
@@ -298,7 +298,7 @@
     }
 }
 
-void GatewayDaemon::Impl::onControlReply(const NewsReceipt &receipt, const FleetWatchReply &reply)
+void GatewayDaemon::Impl::onControlReply(const ReplyInfo &receipt, const FleetWatchReply &reply)
 {
     logReply(receipt, reply);
     {
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -58,8 +58,8 @@
     bool knowsControlHosts();
     void askForControlHosts(TimePoint now);
     void onControlHosts(const Address &from, const PeerReply &reply);
-    void onControlReply(const NewsReceipt &receipt, const FleetWatchReply &reply);
-    void logReply(const NewsReceipt &receipt, const FleetWatchReply &reply);
+    void onControlReply(const ReplyInfo &receipt, const FleetWatchReply &reply);
+    void logReply(const ReplyInfo &receipt, const FleetWatchReply &reply);
     Milliseconds viewAge() const;
     void onLink(const Address &control, bool isLost, const std::string &reason);
     void onLoadsTold(const FleetWatchReply &reply);
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -267,7 +267,7 @@
                 hooks.candidates = [peer] {
                     return std::vector<Address>{peer};
                 };
-                hooks.onReply = [this](const NewsReceipt &receipt, const FleetWatchReply &reply) {
+                hooks.onReply = [this](const ReplyInfo &receipt, const FleetWatchReply &reply) {
                     return onPeerNews(receipt, reply);
                 };
                 hooks.onLink = [this](const Address &to, bool isLost, const std::string &reason) {
--- a/lib/Fleet/RegistryImpl.h
+++ b/lib/Fleet/RegistryImpl.h
@@ -67,7 +67,7 @@
     bool hasLoadsFor(const FleetWatchCall &call) const;
     FleetWatchReply makeReply(const FleetWatchCall &call, TimePoint now) const;
     void replyWatchers(TimePoint now);
-    bool onPeerNews(const NewsReceipt &receipt, const FleetWatchReply &reply);
+    bool onPeerNews(const ReplyInfo &receipt, const FleetWatchReply &reply);
 
     void hearBackpressure(const std::vector<BackpressureReport> &reports, bool isDirect, TimePoint now);
 
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -232,7 +232,7 @@
     });
 }
 
-bool RegistryDaemon::Impl::onPeerNews(const NewsReceipt &receipt, const FleetWatchReply &reply)
+bool RegistryDaemon::Impl::onPeerNews(const ReplyInfo &receipt, const FleetWatchReply &reply)
 {
     const TimePoint now = m_clock.now();
     bool isAllKnown = false;
