--- a/lib/Fleet/ControlWatch.cpp
+++ b/lib/Fleet/ControlWatch.cpp
@@ -135,7 +135,7 @@
         if (number != m_askNumber) {
             return;
         }
-        receipt.askedAt = m_askedAt;
+        receipt.sentAt = m_askedAt;
         receipt.took = m_clock.now() - m_askedAt;
         const bool wasHurried = !news && reason == "cancelled";
         if (!wasHurried) {
--- a/lib/Fleet/ControlWatch.h
+++ b/lib/Fleet/ControlWatch.h
@@ -17,7 +17,7 @@
 /// How a reply came in.
 struct ReplyInfo {
     Address from;
-    TimePoint askedAt{}; ///< what it does not tell may have happened since then
+    TimePoint sentAt{}; ///< what it does not tell may have happened since then
     Duration took{}; ///< from the ask to the reply, the time for which it was held back included
     std::size_t bytes = 0; ///< of its body
 };
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -304,7 +304,7 @@
     {
         const std::lock_guard lock(m_mutex);
         if (reply.isCurrent) {
-            m_viewAsOf = receipt.askedAt;
+            m_viewAsOf = receipt.sentAt;
         }
         m_followed = receipt.from;
         for (const AgedReport<HostReport> &it : reply.changes.hosts) {
