--- a/lib/Fleet/ControlWatch.cpp
+++ b/lib/Fleet/ControlWatch.cpp
@@ -136,7 +136,7 @@
             return;
         }
         receipt.sentAt = m_askedAt;
-        receipt.took = m_clock.now() - m_askedAt;
+        receipt.elapsed = m_clock.now() - m_askedAt;
         const bool wasHurried = !news && reason == "cancelled";
         if (!wasHurried) {
             linkChanged = m_isLost != !news;
--- a/lib/Fleet/ControlWatch.h
+++ b/lib/Fleet/ControlWatch.h
@@ -18,7 +18,7 @@
 struct ReplyInfo {
     Address from;
     TimePoint sentAt{}; ///< what it does not tell may have happened since then
-    Duration took{}; ///< from the ask to the reply, the time for which it was held back included
+    Duration elapsed{}; ///< from the ask to the reply, the time for which it was held back included
     std::size_t bytes = 0; ///< of its body
 };
 
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -271,11 +271,11 @@
 void GatewayDaemon::Impl::logReply(const ReplyInfo &receipt, const FleetWatchReply &reply)
 {
     m_metrics.count("pepperlug_news_bytes{to=\"entry\"}", receipt.bytes);
-    m_metrics.latency("pepperlug_news_seconds", receipt.took);
-    if (receipt.took >= SlowReply || receipt.bytes >= LongReply) {
+    m_metrics.latency("pepperlug_news_seconds", receipt.elapsed);
+    if (receipt.elapsed >= SlowReply || receipt.bytes >= LongReply) {
         m_events.state("news",
                        {{"from", receipt.from.text()},
-                        {"took_ms", std::chrono::duration_cast<Milliseconds>(receipt.took).count()},
+                        {"took_ms", std::chrono::duration_cast<Milliseconds>(receipt.elapsed).count()},
                         {"bytes", receipt.bytes},
                         {"targets", reply.changes.targets.size()},
                         {"whole", reply.isWhole}});
