--- a/lib/Fleet/ControlWatch.cpp
+++ b/lib/Fleet/ControlWatch.cpp
@@ -165,7 +165,7 @@
     m_isAsking = false;
 }
 
-void ControlWatch::hurry()
+void ControlWatch::restartPoll()
 {
     CallId id{};
     {
--- a/lib/Fleet/ControlWatch.h
+++ b/lib/Fleet/ControlWatch.h
@@ -43,7 +43,7 @@
     /// be called regularly.
     void poll(TimePoint now);
     /// Ends the ask that is on its way, so that the next poll tells the newest report.
-    void hurry();
+    void restartPoll();
 
 private:
     void ask(const Address &to);
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -143,7 +143,7 @@
         }
         m_hasNewsToTell = false;
     }
-    m_watch->hurry();
+    m_watch->restartPoll();
 }
 
 // With the next ask, up to half a second later, control hosts would hear of a crowd when it has used up the limit.
@@ -157,7 +157,7 @@
         }
         m_nextSurge = now + SurgeInterval;
     }
-    m_watch->hurry();
+    m_watch->restartPoll();
 }
 
 HostReport GatewayDaemon::Impl::selfReport()
@@ -380,7 +380,7 @@
         m_isStopping = true;
     }
     m_callersServer->closeAfterAnswers();
-    m_watch->hurry();
+    m_watch->restartPoll();
     const TimePoint last = begun + m_settings.bounds.gracePeriod - GraceReserve;
     for (;;) {
         std::this_thread::sleep_for(TickInterval);
@@ -396,7 +396,7 @@
         m_isClosed = true;
         open = m_open.size();
     }
-    m_watch->hurry();
+    m_watch->restartPoll();
     m_events.state("stopped", {{"open_requests", open}});
     std::this_thread::sleep_for(LastAnswers);
 }
--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -74,7 +74,7 @@
     }
     tellAgeOfNews();
     // Whoever waits for this host to have the change should not wait for the held-back reply too.
-    m_watch->hurry();
+    m_watch->restartPoll();
 }
 
 void GatewayDaemon::Impl::adoptRouting(const Address &from, const std::vector<std::string> &changes)
