--- a/lib/Fleet/ControlWatch.cpp
+++ b/lib/Fleet/ControlWatch.cpp
@@ -87,7 +87,7 @@
         const std::lock_guard lock(m_mutex);
         epoch = m_epoch;
     }
-    FleetWatchCall call = m_hooks.describe(to, epoch);
+    FleetWatchCall call = m_hooks.makeCall(to, epoch);
     call.epoch = epoch;
     const std::lock_guard lock(m_mutex);
     call.since = m_since;
--- a/lib/Fleet/ControlWatch.h
+++ b/lib/Fleet/ControlWatch.h
@@ -28,7 +28,7 @@
     struct Hooks {
         /// What this host says of itself to another one, whose life the epoch names: its report with a new sequence
         /// number, the routing that it has, and what it confirms.
-        std::function<FleetWatchCall(const Address &to, const std::string &epoch)> describe;
+        std::function<FleetWatchCall(const Address &to, const std::string &epoch)> makeCall;
         std::function<std::vector<Address>()> candidates; ///< control hosts in the order of preference
         /// Takes a reply over; the next ask tells that it was. False: something in it needs all that the asked host
         /// knows.
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -76,7 +76,7 @@
         static_cast<std::uint64_t>(static_cast<double>(m_settings.linkBytesPerSecond) * LargeAnswersPart);
     m_client = std::make_unique<HttpClient>(m_settings.maxAnswerBytes, forLarge);
     ControlWatch::Hooks hooks;
-    hooks.describe = [this](const Address &, const std::string &epoch) {
+    hooks.makeCall = [this](const Address &, const std::string &epoch) {
         const std::lock_guard lock(m_mutex);
         FleetWatchCall call;
         call.self = selfReport();
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -255,7 +255,7 @@
             std::unique_ptr<ControlWatch> &watch = m_peers[peer];
             if (!watch) {
                 ControlWatch::Hooks hooks;
-                hooks.describe = [this](const Address &to, const std::string &epoch) {
+                hooks.makeCall = [this](const Address &to, const std::string &epoch) {
                     const std::lock_guard guard(m_mutex);
                     FleetWatchCall call;
                     call.self = selfReport();
