--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -10,10 +10,10 @@
 #include "../Daemon/TaskThread.h"
 #include "ControlWatch.h"
 #include "EventLog.h"
-#include "NewsExchange.h"
 #include "pepperlug/Fleet.h"
 #include "pepperlug/Quarantine.h"
 #include "RoutingLag.h"
+#include "UpdateExchange.h"
 
 #include <unordered_map>
 
--- a/lib/Fleet/RegistryImpl.h
+++ b/lib/Fleet/RegistryImpl.h
@@ -5,9 +5,9 @@
 #include "ControlLog.h"
 #include "ControlWatch.h"
 #include "EventLog.h"
-#include "NewsExchange.h"
 #include "pepperlug/Fleet.h"
 #include "Remembered.h"
+#include "UpdateExchange.h"
 
 namespace pepperlug::fleet
 {
--- a/lib/Fleet/NewsExchange.h
+++ b/lib/Fleet/UpdateExchange.h
@@ -1,4 +1,4 @@
-//===- NewsExchange.h - Tables that hosts keep together ----------*- C++ -*-===//
+//===- UpdateExchange.h - Tables that hosts keep together ----------*- C++ -*-===//
 //
 // An entry host tells what it noticed with its asks, until a reply tells that it
 // was heard; a control host that has started anew is told all that is known.
