--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -329,7 +329,7 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        const ToldVersion told{reply.epoch, reply.loadsVersion};
+        const EpochVersion told{reply.epoch, reply.loadsVersion};
         if (told == m_toldLoads) {
             return;
         }
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -67,7 +67,7 @@
     void tellNews();
     /// Takes what a control host tells of a table that hosts keep together, as an event of the balancer.
     template <typename Event, typename Report>
-    void takeNews(const UpdateReply<Report> &news, const std::string &epoch, ToldVersion &told)
+    void takeNews(const UpdateReply<Report> &news, const std::string &epoch, EpochVersion &told)
     {
         {
             const std::lock_guard lock(m_mutex);
@@ -145,10 +145,10 @@
     std::size_t m_seedsAsked = 0;
     TimePoint m_nextAskForControlHosts{};
     std::optional<TimePoint> m_viewAsOf; ///< all that a control host in touch with a majority knew then is known here
-    ToldVersion m_toldSuspects; ///< of this host's quarantine, by this host
-    ToldVersion m_toldBackpressure; ///< of what targets ask for, by this host
+    EpochVersion m_toldSuspects; ///< of this host's quarantine, by this host
+    EpochVersion m_toldBackpressure; ///< of what targets ask for, by this host
     bool m_hasNewsToTell = false; ///< of both, noticed since the last ask
-    ToldVersion m_toldLoads; ///< of the loads of tenants, by the control host
+    EpochVersion m_toldLoads; ///< of the loads of tenants, by the control host
     TimePoint m_nextSurge{};
     Address m_followed; ///< control host that replied last
     bool m_isStopping = false; ///< no caller is sent here any more
--- a/lib/Fleet/UpdateExchange.h
+++ b/lib/Fleet/UpdateExchange.h
@@ -12,15 +12,15 @@
 {
 
 /// Up to where something was told, between an entry host and one life of a control host.
-struct ToldVersion {
+struct EpochVersion {
     std::string epoch; ///< of the control host's life
     std::uint64_t version = 0;
-    bool operator==(const ToldVersion &) const = default;
+    bool operator==(const EpochVersion &) const = default;
 };
 
 /// Fills in what an entry host tells the control host whose life the epoch names.
 template <typename Report, typename Table>
-void offerNews(UpdateOffer<Report> &offer, const Table &table, const ToldVersion &told, const std::string &epoch,
+void offerNews(UpdateOffer<Report> &offer, const Table &table, const EpochVersion &told, const std::string &epoch,
                TimePoint now)
 {
     const bool hasHeard = !epoch.empty() && epoch == told.epoch;
