--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -30,7 +30,7 @@
 void GatewayDaemon::Impl::describeBackpressure(FleetWatchCall &call, const std::string &epoch)
 {
     const BackpressureTable &table = m_balancer->backpressure();
-    offerNews(call.backpressure, table, m_toldBackpressure, epoch, m_clock.now());
+    fillOffer(call.backpressure, table, m_toldBackpressure, epoch, m_clock.now());
     m_metrics.gauge("pepperlug_targets_limited", static_cast<double>(table.limited()));
 }
 
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -23,7 +23,7 @@
 void GatewayDaemon::Impl::describeSuspects(FleetWatchCall &call, const std::string &epoch)
 {
     const Quarantine &quarantine = m_balancer->quarantine();
-    offerNews(call.suspects, quarantine, m_toldSuspects, epoch, m_clock.now());
+    fillOffer(call.suspects, quarantine, m_toldSuspects, epoch, m_clock.now());
     m_metrics.gauge("pepperlug_suspects", static_cast<double>(quarantine.size()));
     m_metrics.gauge("pepperlug_requests_shut_out", static_cast<double>(quarantine.shutOut()));
 }
--- a/lib/Fleet/UpdateExchange.h
+++ b/lib/Fleet/UpdateExchange.h
@@ -20,7 +20,7 @@
 
 /// Fills in what an entry host tells the control host whose life the epoch names.
 template <typename Report, typename Table>
-void offerNews(UpdateOffer<Report> &offer, const Table &table, const EpochVersion &told, const std::string &epoch,
+void fillOffer(UpdateOffer<Report> &offer, const Table &table, const EpochVersion &told, const std::string &epoch,
                TimePoint now)
 {
     const bool hasHeard = !epoch.empty() && epoch == told.epoch;
