--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -81,8 +81,8 @@
         ask.since = 0;
         ask.loadsSince = 0;
     }
-    hearSuspects(takeOffered(ask.suspects, isSameEpoch, ask.epoch.empty()), true, now);
-    hearBackpressure(takeOffered(ask.backpressure, isSameEpoch, ask.epoch.empty()), true, now);
+    hearSuspects(takeReports(ask.suspects, isSameEpoch, ask.epoch.empty()), true, now);
+    hearBackpressure(takeReports(ask.backpressure, isSameEpoch, ask.epoch.empty()), true, now);
     const bool isLate = !m_registry.receive(ask.self, now);
     heard.isNewest = isNewestOf(ask.self.peer, ask.self.id, ask.self.sequence);
     const bool isLivingEntry = ask.self.role == HostRole::Entry && ask.self.presence != Presence::Gone;
--- a/lib/Fleet/UpdateExchange.h
+++ b/lib/Fleet/UpdateExchange.h
@@ -30,7 +30,7 @@
 
 /// Takes the reports out of an offer, and from it what a control host's earlier life was told.
 template <typename Report>
-std::vector<Report> takeOffered(UpdateOffer<Report> &offer, bool isSameEpoch, bool knowsNoEpoch)
+std::vector<Report> takeReports(UpdateOffer<Report> &offer, bool isSameEpoch, bool knowsNoEpoch)
 {
     offer.since = isSameEpoch ? offer.since : 0;
     // An asker that knew an earlier life of this host may have left out what it told that one.
