--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -185,8 +185,8 @@
     const bool isControl = call.self.role == HostRole::Control;
     reply.changes = isControl ? m_registry.heardSince(call.since, now) : m_registry.changedSince(call.since, now);
     reply.isWhole = call.since == 0;
-    reply.suspects = answerNews(call.suspects, m_quarantine, readerOf(call), now);
-    reply.backpressure = answerNews(call.backpressure, m_backpressure, readerOf(call), now);
+    reply.suspects = makeUpdateReply(call.suspects, m_quarantine, readerOf(call), now);
+    reply.backpressure = makeUpdateReply(call.backpressure, m_backpressure, readerOf(call), now);
     if (isControl) {
         return reply;
     }
--- a/lib/Fleet/UpdateExchange.h
+++ b/lib/Fleet/UpdateExchange.h
@@ -40,7 +40,8 @@
 
 /// What a control host replies.
 template <typename Report, typename Table>
-UpdateReply<Report> answerNews(const UpdateOffer<Report> &offer, const Table &table, NewsReader reader, TimePoint now)
+UpdateReply<Report> makeUpdateReply(const UpdateOffer<Report> &offer, const Table &table, NewsReader reader,
+                                    TimePoint now)
 {
     return {table.changedSince(offer.since, reader, now), table.version(), offer.version};
 }
