--- a/lib/Fleet/Remembered.cpp
+++ b/lib/Fleet/CachedState.cpp
@@ -1,5 +1,5 @@
-//===- Remembered.cpp - What a control host knew before a restart ---------===//
-#include "Remembered.h"
+//===- CachedState.cpp - What a control host knew before a restart ---------===//
+#include "CachedState.h"
 #include "pepperlug/Storage.h"
 
 #include <algorithm>
@@ -23,9 +23,9 @@
 
 } // namespace
 
-Remembered rememberedOf(const RoutingState &routing, const Registry &registry)
+CachedState rememberedOf(const RoutingState &routing, const Registry &registry)
 {
-    Remembered remembered{routing, {}, {}};
+    CachedState remembered{routing, {}, {}};
     for (const auto &[id, entry] : registry.targets()) {
         // How many hosts share a cold target is not known right after a restart, so none sends to it.
         const bool isWarm = entry.report.coldLeft <= Milliseconds(0);
@@ -36,21 +36,21 @@
     return remembered;
 }
 
-void writeRemembered(const std::string &path, const Remembered &remembered)
+void writeRemembered(const std::string &path, const CachedState &remembered)
 {
     replaceFile(path,
                 encode(StoredRemembered{remembered.routing.snapshot(), remembered.targets, remembered.suspects,
                                         remembered.loads}));
 }
 
-std::optional<Remembered> readRemembered(const std::string &path)
+std::optional<CachedState> readRemembered(const std::string &path)
 {
     std::error_code ec; // whatever else keeps the file from being read is told by readFile()
     if (std::filesystem::status(path, ec).type() == std::filesystem::file_type::not_found) {
         return std::nullopt;
     }
     auto stored = decode<StoredRemembered>(readFile(path), path);
-    Remembered remembered;
+    CachedState remembered;
     remembered.routing.restore(stored.routing);
     remembered.targets = std::move(stored.targets);
     remembered.suspects = std::move(stored.suspects);
--- a/lib/Fleet/Remembered.h
+++ b/lib/Fleet/CachedState.h
@@ -1,4 +1,4 @@
-//===- Remembered.h - What a control host knew before a restart -*- C++ -*-===//
+//===- CachedState.h - What a control host knew before a restart -*- C++ -*-===//
 //
 // After a restart of all control hosts nobody knows the targets until each has
 // reported itself, and nobody knows the routing until a leader is elected again.
@@ -16,20 +16,20 @@
 namespace pepperlug::fleet
 {
 
-struct Remembered {
+struct CachedState {
     RoutingState routing; ///< as it was agreed on
     std::vector<TargetReport> targets; ///< ready and warm ones
     std::vector<SuspectReport> suspects; ///< ages as of the writing
     std::vector<TenantLoad> loads{}; ///< of tenants near their limits
 };
 
-Remembered rememberedOf(const RoutingState &routing, const Registry &registry);
+CachedState rememberedOf(const RoutingState &routing, const Registry &registry);
 
 /// Replaces the file in one step and syncs it. Throws Error.
-void writeRemembered(const std::string &path, const Remembered &remembered);
+void writeRemembered(const std::string &path, const CachedState &remembered);
 
 /// Nothing if there is no file. Throws Error if it can't be read.
-std::optional<Remembered> readRemembered(const std::string &path);
+std::optional<CachedState> readRemembered(const std::string &path);
 
 /// The remembered targets of which the registry has not heard yet.
 std::vector<TargetReport> unheardOf(const std::vector<TargetReport> &targets, const Registry &registry);
--- a/lib/Fleet/RegistryImpl.h
+++ b/lib/Fleet/RegistryImpl.h
@@ -2,11 +2,11 @@
 #pragma once
 
 #include "../Daemon/TaskThread.h"
+#include "CachedState.h"
 #include "ControlLog.h"
 #include "ControlWatch.h"
 #include "EventLog.h"
 #include "pepperlug/Fleet.h"
-#include "Remembered.h"
 #include "UpdateExchange.h"
 
 namespace pepperlug::fleet
@@ -190,7 +190,7 @@
     TimePoint m_notCurrentSince{}; ///< while it is not; at first since the start
     TimePoint m_nextSelfReport{};
     TimePoint m_nextJoin{};
-    std::optional<Remembered> m_remembered; ///< from before the restart, for a while
+    std::optional<CachedState> m_remembered; ///< from before the restart, for a while
     RoutingHistory m_rememberedHistory;
     TimePoint m_nextRemember{};
     std::uint64_t m_rememberedVersion = 0; ///< of the registry, when the file was written last
--- a/unittests/Fleet/RememberedTest.cpp
+++ b/unittests/Fleet/CachedStateTest.cpp
@@ -1,5 +1,5 @@
-//===- RememberedTest.cpp - What a control host knew before a restart -----===//
-#include "Fleet/Remembered.h"
+//===- CachedStateTest.cpp - What a control host knew before a restart -----===//
+#include "Fleet/CachedState.h"
 
 #include <catch2/catch.hpp>
 
@@ -58,7 +58,7 @@
     TemporaryFile file;
     CHECK_FALSE(readRemembered(file.path));
     writeRemembered(file.path, rememberedOf(RoutingState{}, someTargets()));
-    const std::optional<Remembered> read = readRemembered(file.path);
+    const std::optional<CachedState> read = readRemembered(file.path);
     REQUIRE(read);
     REQUIRE(read->targets.size() == 2);
     CHECK(read->targets[0].id == "1");
@@ -82,7 +82,7 @@
     RoutingCommand evacuate{RoutingCommandKind::EvacuateZone, 0, 0, {}, "z2"};
     REQUIRE(routing.apply(evacuate, 7) == RoutingResult::Done);
     writeRemembered(file.path, rememberedOf(routing, someTargets()));
-    const std::optional<Remembered> read = readRemembered(file.path);
+    const std::optional<CachedState> read = readRemembered(file.path);
     REQUIRE(read);
     CHECK(read->routing.index() == 7);
     CHECK(read->routing.text() == "table");
@@ -91,7 +91,7 @@
 
 TEST_CASE("a remembered target is told only while nothing newer is known of it")
 {
-    const Remembered remembered = rememberedOf(RoutingState{}, someTargets());
+    const CachedState remembered = rememberedOf(RoutingState{}, someTargets());
     Registry now;
     now.receive(report("1", Presence::Draining), Start);
     const std::vector<TargetReport> unheard = unheardOf(remembered.targets, now);
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -60,7 +60,7 @@
     ServingSystem serving;
     serving.system.endAll();
     // As another version of the program may have left it.
-    Remembered unreadable;
+    CachedState unreadable;
     RoutingCommand command;
     command.version = 9;
     command.text = "{";
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "Fleet/Remembered.h"
+#include "Fleet/CachedState.h"
 #include "platform/Dialect.h"
 #include "test/soak/FaultProxy.h"
 
@@ -286,7 +286,7 @@
     }
 
     /// Replaces what the control host remembers; it must have ended.
-    void remember(const Remembered &remembered) const
+    void remember(const CachedState &remembered) const
     {
         writeRemembered(m_control.dataFolder + "/remembered", remembered);
     }
@@ -294,20 +294,20 @@
     /// The control host must have ended.
     void forgetSuspects() const
     {
-        std::optional<Remembered> remembered = readRemembered(m_control.dataFolder + "/remembered");
+        std::optional<CachedState> remembered = readRemembered(m_control.dataFolder + "/remembered");
         remembered.value().suspects.clear();
         remember(*remembered);
     }
 
     std::size_t rememberedTargets() const
     {
-        const std::optional<Remembered> remembered = readRemembered(m_control.dataFolder + "/remembered");
+        const std::optional<CachedState> remembered = readRemembered(m_control.dataFolder + "/remembered");
         return remembered ? remembered->targets.size() : 0;
     }
 
     std::size_t rememberedSuspects() const
     {
-        const std::optional<Remembered> remembered = readRemembered(m_control.dataFolder + "/remembered");
+        const std::optional<CachedState> remembered = readRemembered(m_control.dataFolder + "/remembered");
         return remembered ? remembered->suspects.size() : 0;
     }
 
