--- a/lib/Fleet/CachedState.cpp
+++ b/lib/Fleet/CachedState.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-CachedState rememberedOf(const RoutingState &routing, const Registry &registry)
+CachedState makeCachedState(const RoutingState &routing, const Registry &registry)
 {
     CachedState remembered{routing, {}, {}};
     for (const auto &[id, entry] : registry.targets()) {
--- a/lib/Fleet/CachedState.h
+++ b/lib/Fleet/CachedState.h
@@ -23,7 +23,7 @@
     std::vector<TenantLoad> loads{}; ///< of tenants near their limits
 };
 
-CachedState rememberedOf(const RoutingState &routing, const Registry &registry);
+CachedState makeCachedState(const RoutingState &routing, const Registry &registry);
 
 /// Replaces the file in one step and syncs it. Throws Error.
 void writeRemembered(const std::string &path, const CachedState &remembered);
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -151,7 +151,7 @@
     m_rememberedSuspects = m_quarantine.version();
     m_rememberedLoads = m_quotas.version();
     m_remembersLimits = m_quotas.binds();
-    CachedState remembered = rememberedOf(m_routing, m_registry);
+    CachedState remembered = makeCachedState(m_routing, m_registry);
     remembered.suspects = m_quarantine.changedSince(0, NewsReader::ControlHost, now);
     remembered.loads = m_quotas.loads();
     m_writer->post([this, remembered = std::move(remembered)] {
