--- a/lib/Fleet/CachedState.cpp
+++ b/lib/Fleet/CachedState.cpp
@@ -36,7 +36,7 @@
     return remembered;
 }
 
-void writeRemembered(const std::string &path, const CachedState &remembered)
+void writeCachedState(const std::string &path, const CachedState &remembered)
 {
     replaceFile(path,
                 encode(StoredRemembered{remembered.routing.snapshot(), remembered.targets, remembered.suspects,
--- a/lib/Fleet/CachedState.h
+++ b/lib/Fleet/CachedState.h
@@ -26,7 +26,7 @@
 CachedState makeCachedState(const RoutingState &routing, const Registry &registry);
 
 /// Replaces the file in one step and syncs it. Throws Error.
-void writeRemembered(const std::string &path, const CachedState &remembered);
+void writeCachedState(const std::string &path, const CachedState &remembered);
 
 /// Nothing if there is no file. Throws Error if it can't be read.
 std::optional<CachedState> readRemembered(const std::string &path);
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -156,7 +156,7 @@
     remembered.loads = m_quotas.loads();
     m_writer->post([this, remembered = std::move(remembered)] {
         try {
-            writeRemembered(m_settings.dataFolder + "/" + RememberedFile, remembered);
+            writeCachedState(m_settings.dataFolder + "/" + RememberedFile, remembered);
         } catch (const Error &ex) {
             m_events.state("remember-failed", {{"reason", ex.what()}});
         }
--- a/unittests/Fleet/CachedStateTest.cpp
+++ b/unittests/Fleet/CachedStateTest.cpp
@@ -57,7 +57,7 @@
 {
     TemporaryFile file;
     CHECK_FALSE(readRemembered(file.path));
-    writeRemembered(file.path, makeCachedState(RoutingState{}, someTargets()));
+    writeCachedState(file.path, makeCachedState(RoutingState{}, someTargets()));
     const std::optional<CachedState> read = readRemembered(file.path);
     REQUIRE(read);
     REQUIRE(read->targets.size() == 2);
@@ -81,7 +81,7 @@
     REQUIRE(routing.apply(put, 6) == RoutingResult::Done);
     RoutingCommand evacuate{RoutingCommandKind::EvacuateZone, 0, 0, {}, "z2"};
     REQUIRE(routing.apply(evacuate, 7) == RoutingResult::Done);
-    writeRemembered(file.path, makeCachedState(routing, someTargets()));
+    writeCachedState(file.path, makeCachedState(routing, someTargets()));
     const std::optional<CachedState> read = readRemembered(file.path);
     REQUIRE(read);
     CHECK(read->routing.index() == 7);
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -288,7 +288,7 @@
     /// Replaces what the control host remembers; it must have ended.
     void remember(const CachedState &remembered) const
     {
-        writeRemembered(m_control.dataFolder + "/remembered", remembered);
+        writeCachedState(m_control.dataFolder + "/remembered", remembered);
     }
 
     /// The control host must have ended.
