--- a/lib/Fleet/CachedState.cpp
+++ b/lib/Fleet/CachedState.cpp
@@ -43,7 +43,7 @@
                                         remembered.loads}));
 }
 
-std::optional<CachedState> readRemembered(const std::string &path)
+std::optional<CachedState> readCachedState(const std::string &path)
 {
     std::error_code ec; // whatever else keeps the file from being read is told by readFile()
     if (std::filesystem::status(path, ec).type() == std::filesystem::file_type::not_found) {
--- a/lib/Fleet/CachedState.h
+++ b/lib/Fleet/CachedState.h
@@ -29,7 +29,7 @@
 void writeCachedState(const std::string &path, const CachedState &remembered);
 
 /// Nothing if there is no file. Throws Error if it can't be read.
-std::optional<CachedState> readRemembered(const std::string &path);
+std::optional<CachedState> readCachedState(const std::string &path);
 
 /// The remembered targets of which the registry has not heard yet.
 std::vector<TargetReport> unheardOf(const std::vector<TargetReport> &targets, const Registry &registry);
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -115,7 +115,7 @@
 void RegistryDaemon::Impl::recallRemembered()
 {
     try {
-        m_remembered = readRemembered(m_settings.dataFolder + "/" + RememberedFile);
+        m_remembered = readCachedState(m_settings.dataFolder + "/" + RememberedFile);
         if (m_remembered) {
             m_rememberedHistory.append(viewOf(m_remembered->routing));
             hearSuspects(m_remembered->suspects, false, m_clock.now());
--- a/unittests/Fleet/CachedStateTest.cpp
+++ b/unittests/Fleet/CachedStateTest.cpp
@@ -56,9 +56,9 @@
 TEST_CASE("targets that are ready and warm are remembered, and come back from the file")
 {
     TemporaryFile file;
-    CHECK_FALSE(readRemembered(file.path));
+    CHECK_FALSE(readCachedState(file.path));
     writeCachedState(file.path, makeCachedState(RoutingState{}, someTargets()));
-    const std::optional<CachedState> read = readRemembered(file.path);
+    const std::optional<CachedState> read = readCachedState(file.path);
     REQUIRE(read);
     REQUIRE(read->targets.size() == 2);
     CHECK(read->targets[0].id == "1");
@@ -70,7 +70,7 @@
 {
     TemporaryFile file;
     std::ofstream(file.path) << "no such thing";
-    CHECK_THROWS_WITH(readRemembered(file.path), Catch::Contains(file.path));
+    CHECK_THROWS_WITH(readCachedState(file.path), Catch::Contains(file.path));
 }
 
 TEST_CASE("the routing comes back from the file as it was agreed on")
@@ -82,7 +82,7 @@
     RoutingCommand evacuate{RoutingCommandKind::EvacuateZone, 0, 0, {}, "z2"};
     REQUIRE(routing.apply(evacuate, 7) == RoutingResult::Done);
     writeCachedState(file.path, makeCachedState(routing, someTargets()));
-    const std::optional<CachedState> read = readRemembered(file.path);
+    const std::optional<CachedState> read = readCachedState(file.path);
     REQUIRE(read);
     CHECK(read->routing.index() == 7);
     CHECK(read->routing.text() == "table");
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -294,20 +294,20 @@
     /// The control host must have ended.
     void forgetSuspects() const
     {
-        std::optional<CachedState> remembered = readRemembered(m_control.dataFolder + "/remembered");
+        std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
         remembered.value().suspects.clear();
         remember(*remembered);
     }
 
     std::size_t rememberedTargets() const
     {
-        const std::optional<CachedState> remembered = readRemembered(m_control.dataFolder + "/remembered");
+        const std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
         return remembered ? remembered->targets.size() : 0;
     }
 
     std::size_t rememberedSuspects() const
     {
-        const std::optional<CachedState> remembered = readRemembered(m_control.dataFolder + "/remembered");
+        const std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
         return remembered ? remembered->suspects.size() : 0;
     }
 
