--- a/lib/Fleet/CachedState.cpp
+++ b/lib/Fleet/CachedState.cpp
@@ -58,7 +58,7 @@
     return remembered;
 }
 
-std::vector<TargetReport> unheardOf(const std::vector<TargetReport> &targets, const Registry &registry)
+std::vector<TargetReport> unreportedTargets(const std::vector<TargetReport> &targets, const Registry &registry)
 {
     std::vector<TargetReport> unheard;
     std::copy_if(targets.begin(), targets.end(), std::back_inserter(unheard),
--- a/lib/Fleet/CachedState.h
+++ b/lib/Fleet/CachedState.h
@@ -32,6 +32,6 @@
 std::optional<CachedState> readCachedState(const std::string &path);
 
 /// The remembered targets of which the registry has not heard yet.
-std::vector<TargetReport> unheardOf(const std::vector<TargetReport> &targets, const Registry &registry);
+std::vector<TargetReport> unreportedTargets(const std::vector<TargetReport> &targets, const Registry &registry);
 
 } // namespace pepperlug::fleet
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -197,7 +197,7 @@
     }
     const bool knowsNothing = call.routingIndex == 0 && call.since == 0;
     if (knowsNothing && m_remembered) {
-        reply.cachedTargets = unheardOf(m_remembered->targets, m_registry);
+        reply.cachedTargets = unreportedTargets(m_remembered->targets, m_registry);
     }
     const RoutingHistory &history = historyFor(knowsNothing);
     reply.routingIndex = history.index();
--- a/unittests/Fleet/CachedStateTest.cpp
+++ b/unittests/Fleet/CachedStateTest.cpp
@@ -94,7 +94,7 @@
     const CachedState remembered = makeCachedState(RoutingState{}, someTargets());
     Registry now;
     now.receive(report("1", Presence::Draining), Start);
-    const std::vector<TargetReport> unheard = unheardOf(remembered.targets, now);
+    const std::vector<TargetReport> unheard = unreportedTargets(remembered.targets, now);
     REQUIRE(unheard.size() == 1);
     CHECK(unheard[0].id == "4");
 }
