--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -26,7 +26,7 @@
     {
         const std::lock_guard lock(m_mutex);
         // Said with the next ask, so that it is held back although this host has not got the newest yet.
-        m_routingLag.heard(reply.routingIndex, m_clock.now());
+        m_routingLag.addAdvertised(reply.routingIndex, m_clock.now());
         if (reply.routingIndex <= m_routing.index || m_isFetchingRouting) {
             return;
         }
--- a/lib/Fleet/RoutingLag.h
+++ b/lib/Fleet/RoutingLag.h
@@ -13,7 +13,7 @@
 {
 public:
     /// A control host told of the routing of a log index.
-    void heard(std::uint64_t index, TimePoint now)
+    void addAdvertised(std::uint64_t index, TimePoint now)
     {
         if (index > m_newest) {
             m_newest = index;
--- a/unittests/Fleet/RoutingLagTest.cpp
+++ b/unittests/Fleet/RoutingLagTest.cpp
@@ -12,10 +12,10 @@
     const TimePoint start{1000s};
     RoutingLag lag;
     CHECK_FALSE(lag.behindSince());
-    lag.heard(5, start);
-    lag.heard(5, start + 1s); // told again
-    lag.heard(7, start + 2s);
-    lag.heard(6, start + 3s); // by a host that knows less
+    lag.addAdvertised(5, start);
+    lag.addAdvertised(5, start + 1s); // told again
+    lag.addAdvertised(7, start + 2s);
+    lag.addAdvertised(6, start + 3s); // by a host that knows less
     CHECK(lag.newest() == 7);
     CHECK(lag.behindSince() == start);
     lag.reached(5);
@@ -30,9 +30,9 @@
     RoutingLag lag;
     lag.reached(3);
     CHECK(lag.newest() == 3);
-    lag.heard(3, start);
+    lag.addAdvertised(3, start);
     CHECK_FALSE(lag.behindSince());
-    lag.heard(4, start);
+    lag.addAdvertised(4, start);
     lag.reached(9);
     CHECK_FALSE(lag.behindSince());
     CHECK(lag.newest() == 9);
