--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -108,7 +108,7 @@
     // Last, since asks tell it: from then on others rely on it.
     const std::lock_guard lock(m_mutex);
     m_wantsWholeRouting = false;
-    m_routingLag.reached(after.index);
+    m_routingLag.setApplied(after.index);
     if (after.index > m_routing.index) {
         m_routing = std::move(after);
     }
--- a/lib/Fleet/RoutingLag.h
+++ b/lib/Fleet/RoutingLag.h
@@ -22,7 +22,7 @@
     }
 
     /// The routing of an index, and with it all older ones, is decided by from now on.
-    void reached(std::uint64_t index)
+    void setApplied(std::uint64_t index)
     {
         m_newest = std::max(m_newest, index);
         while (!m_missing.empty() && m_missing.front().index <= index) {
--- a/unittests/Fleet/RoutingLagTest.cpp
+++ b/unittests/Fleet/RoutingLagTest.cpp
@@ -18,9 +18,9 @@
     lag.addAdvertised(6, start + 3s); // by a host that knows less
     CHECK(lag.newest() == 7);
     CHECK(lag.behindSince() == start);
-    lag.reached(5);
+    lag.setApplied(5);
     CHECK(lag.behindSince() == start + 2s);
-    lag.reached(7);
+    lag.setApplied(7);
     CHECK_FALSE(lag.behindSince());
 }
 
@@ -28,12 +28,12 @@
 {
     const TimePoint start{1000s};
     RoutingLag lag;
-    lag.reached(3);
+    lag.setApplied(3);
     CHECK(lag.newest() == 3);
     lag.addAdvertised(3, start);
     CHECK_FALSE(lag.behindSince());
     lag.addAdvertised(4, start);
-    lag.reached(9);
+    lag.setApplied(9);
     CHECK_FALSE(lag.behindSince());
     CHECK(lag.newest() == 9);
 }
