--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -81,7 +81,7 @@
         FleetWatchCall call;
         call.self = selfReport();
         call.routingIndex = m_routing.index;
-        call.newestRoutingIndex = m_routingLag.newest();
+        call.newestRoutingIndex = m_routingLag.newestIndex();
         call.confirmed.routing = actsUpon();
         describeSuspects(call, epoch);
         describeBackpressure(call, epoch);
--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -134,7 +134,7 @@
 // yet: while this host decides nothing, nobody has to wait for it.
 std::uint64_t GatewayDaemon::Impl::actsUpon() const
 {
-    return m_balancer->isSuspended() ? m_routingLag.newest() : m_routing.index;
+    return m_balancer->isSuspended() ? m_routingLag.newestIndex() : m_routing.index;
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Fleet/RoutingLag.h
+++ b/lib/Fleet/RoutingLag.h
@@ -31,7 +31,7 @@
     }
 
     /// Log index of the newest that was heard of; 0 for none.
-    std::uint64_t newest() const
+    std::uint64_t newestIndex() const
     {
         return m_newest;
     }
--- a/unittests/Fleet/RoutingLagTest.cpp
+++ b/unittests/Fleet/RoutingLagTest.cpp
@@ -16,7 +16,7 @@
     lag.addAdvertised(5, start + 1s); // told again
     lag.addAdvertised(7, start + 2s);
     lag.addAdvertised(6, start + 3s); // by a host that knows less
-    CHECK(lag.newest() == 7);
+    CHECK(lag.newestIndex() == 7);
     CHECK(lag.behindSince() == start);
     lag.setApplied(5);
     CHECK(lag.behindSince() == start + 2s);
@@ -29,11 +29,11 @@
     const TimePoint start{1000s};
     RoutingLag lag;
     lag.setApplied(3);
-    CHECK(lag.newest() == 3);
+    CHECK(lag.newestIndex() == 3);
     lag.addAdvertised(3, start);
     CHECK_FALSE(lag.behindSince());
     lag.addAdvertised(4, start);
     lag.setApplied(9);
     CHECK_FALSE(lag.behindSince());
-    CHECK(lag.newest() == 9);
+    CHECK(lag.newestIndex() == 9);
 }
