--- a/unittests/EndingRequests/EndingRequestTest.cpp
+++ b/unittests/EndingRequests/EndingRequestTest.cpp
@@ -28,7 +28,7 @@
 {
 public:
     explicit EndingSystem(Duration firstTrialPause = FirstTrialPause)
-        : m_system(ControlLink::Direct, 2 * Patience, 2 * Patience, firstTrialPause)
+        : m_system(ControlLink::Direct, 2 * EventTimeout, 2 * EventTimeout, firstTrialPause)
     {
         nlohmann::json table = nlohmann::json::parse(System::tableText("r2", {"/p/"}));
         nlohmann::json &route = table["hosts"][0]["paths"][0];
@@ -153,7 +153,7 @@
     EndingSystem system;
     unsigned turn = 0;
     std::optional<std::chrono::steady_clock::time_point> told;
-    const auto last = std::chrono::steady_clock::now() + Patience;
+    const auto last = std::chrono::steady_clock::now() + EventTimeout;
     while (std::chrono::steady_clock::now() < (told ? *told + TimeToLearn + TimeAfter : last)) {
         system.statusOf(turn++ % EndingSystem::EntryHosts, EndingPath);
         std::this_thread::sleep_for(100ms);
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -25,7 +25,7 @@
 using namespace std::chrono_literals;
 
 /// Upper bound for what must come; no test is judged by its time.
-constexpr auto Patience = 30s;
+constexpr auto EventTimeout = 30s;
 constexpr auto Pause = 10ms;
 
 /// An address on a loopback network that no other process of the tests uses, so that no port can be taken.
@@ -205,8 +205,8 @@
 public:
     /// `acknowledgeTimeout`: in what time operators expect an answer. By default one that no test waits for, since a
     /// machine that is busy may hold a host up.
-    explicit System(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * Patience,
-                    Duration acknowledgeTimeout = 2 * Patience, Duration firstProbePause = FirstTrialPause)
+    explicit System(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * EventTimeout,
+                    Duration acknowledgeTimeout = 2 * EventTimeout, Duration firstProbePause = FirstTrialPause)
         : m_folder(std::filesystem::temp_directory_path() / ("pepperlug-fleet-" + randomHex(8)))
     {
         std::filesystem::create_directories(m_folder);
@@ -339,7 +339,8 @@
     /// Repeats a step until it returns true.
     static bool eventually(const std::function<bool()> &step)
     {
-        for (const auto end = std::chrono::steady_clock::now() + Patience; std::chrono::steady_clock::now() < end;) {
+        for (const auto end = std::chrono::steady_clock::now() + EventTimeout;
+             std::chrono::steady_clock::now() < end;) {
             if (step()) {
                 return true;
             }
@@ -419,8 +420,8 @@
 
 /// A system with a configuration and one target, once it serves.
 struct ServingSystem {
-    explicit ServingSystem(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * Patience,
-                           Duration acknowledgeTimeout = 2 * Patience)
+    explicit ServingSystem(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * EventTimeout,
+                           Duration acknowledgeTimeout = 2 * EventTimeout)
         : system(link, updateLease, acknowledgeTimeout)
     {
         system.putTable("r2", "0");
--- a/unittests/InForce/OvertakenAskTest.cpp
+++ b/unittests/InForce/OvertakenAskTest.cpp
@@ -66,7 +66,7 @@
     {
         auto promise = std::make_shared<std::promise<PeerReply>>();
         std::future<PeerReply> reply = promise->get_future();
-        m_net.call(m_other, path, body, Patience, [promise](PeerReply it) { promise->set_value(std::move(it)); });
+        m_net.call(m_other, path, body, EventTimeout, [promise](PeerReply it) { promise->set_value(std::move(it)); });
         return reply.get();
     }
 
--- a/unittests/LateNews/RoutingOnItsWayTest.cpp
+++ b/unittests/LateNews/RoutingOnItsWayTest.cpp
@@ -138,7 +138,7 @@
         settings.name = "entry";
         settings.zone = "z1";
         settings.regionOfZone = {{"z1", "r1"}};
-        settings.updateLease = 2 * Patience;
+        settings.updateLease = 2 * EventTimeout;
         settings.maxBodyBytes = settings.maxAnswerBytes = 1 << 20;
         settings.peer = addressOn(2, 17100);
         settings.metrics = addressOn(2, 17103);
