--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -49,7 +49,7 @@
             if (system.get(system.gateway->callersAddress(), "/p/x").status == 200) {
                 return true;
             }
-            std::this_thread::sleep_for(Pause);
+            std::this_thread::sleep_for(RetryInterval);
         }
         return false;
     }));
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -26,7 +26,7 @@
 
 /// Upper bound for what must come; no test is judged by its time.
 constexpr auto EventTimeout = 30s;
-constexpr auto Pause = 10ms;
+constexpr auto RetryInterval = 10ms;
 
 /// An address on a loopback network that no other process of the tests uses, so that no port can be taken.
 inline Address addressOn(unsigned host, std::uint16_t port)
@@ -344,7 +344,7 @@
             if (step()) {
                 return true;
             }
-            std::this_thread::sleep_for(Pause);
+            std::this_thread::sleep_for(RetryInterval);
         }
         return false;
     }
--- a/unittests/LateNews/RoutingOnItsWayTest.cpp
+++ b/unittests/LateNews/RoutingOnItsWayTest.cpp
@@ -97,7 +97,7 @@
                     return true;
                 });
             }
-            std::this_thread::sleep_for(Pause);
+            std::this_thread::sleep_for(RetryInterval);
         }
     }
 
