--- a/unittests/Backpressure/BackpressureSystem.h
+++ b/unittests/Backpressure/BackpressureSystem.h
@@ -125,7 +125,7 @@
         while (!m_stop) {
             ++sequence;
             for (std::size_t n = 0; n < m_targets.size(); ++n) {
-                m_system.beat(idOf(n), *m_targets[n], sequence);
+                m_system.sendReport(idOf(n), *m_targets[n], sequence);
             }
             std::this_thread::sleep_for(200ms);
         }
--- a/unittests/EndingRequests/EndingRequestTest.cpp
+++ b/unittests/EndingRequests/EndingRequestTest.cpp
@@ -132,7 +132,7 @@
         const nlohmann::json report{{"service", "s"}, {"addr", target.address()}, {"zone", "z1"},   {"version", "v1"},
                                     {"slots", 4},     {"state", "ready"},         {"coldLeftS", 0}, {"seq", sequence}};
         const std::lock_guard lock(m_controlMutex);
-        m_system.beat(target.id(), report.dump());
+        m_system.sendReport(target.id(), report.dump());
     }
 
     System m_system;
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -10,7 +10,7 @@
     System system;
     FakeTarget target("i-1");
     system.putTable("r2", "0");
-    REQUIRE(system.beat("i-1", target, 1).status == 200);
+    REQUIRE(system.sendReport("i-1", target, 1).status == 200);
     REQUIRE(system.becomesReady());
     const Answer answer = system.get(system.gateway->callersAddress(), "/p/x", "q1");
     CHECK(answer.status == 200);
@@ -29,7 +29,7 @@
     ServingSystem serving;
     System &system = serving.system;
     FakeTarget &target = serving.target;
-    REQUIRE(system.beat("i-1", target, 2, "draining").status == 200);
+    REQUIRE(system.sendReport("i-1", target, 2, "draining").status == 200);
     REQUIRE(System::eventually([&] { return system.get(system.gateway->callersAddress(), "/p/x").status == 503; }));
     const int runs = target.runs();
     CHECK(system.get(system.gateway->callersAddress(), "/p/x").status == 503);
@@ -69,7 +69,7 @@
     serving.system.start();
     int sequence = 1;
     CHECK(System::eventually([&] {
-        serving.system.beat("i-1", serving.target, ++sequence);
+        serving.system.sendReport("i-1", serving.target, ++sequence);
         return serving.statusOf("/p/x") == 200;
     }));
 }
@@ -160,7 +160,7 @@
     const auto reportOf = [&](std::uint64_t startedAt, int sequence) {
         nlohmann::json report = System::reportOf(serving.target, sequence);
         report["born"] = startedAt;
-        return serving.system.beat("i-1", report.dump());
+        return serving.system.sendReport("i-1", report.dump());
     };
     REQUIRE(reportOf(1000, 50).status == 200);
     REQUIRE(System::eventually(
@@ -178,7 +178,7 @@
     ServingSystem serving;
     const nlohmann::json good = System::reportOf(serving.target, 1);
     const auto statusOf = [&](const std::string &id, const std::string &body) {
-        return serving.system.beat(id, body).status;
+        return serving.system.sendReport(id, body).status;
     };
     nlohmann::json unknownService = good;
     unknownService["service"] = "unheard-of";
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -385,12 +385,12 @@
                 {"slots", 4},     {"state", state},           {"coldLeftS", 0}, {"seq", sequence}};
     }
 
-    Answer beat(const std::string &id, const FakeTarget &target, int sequence, const std::string &state = "ready")
+    Answer sendReport(const std::string &id, const FakeTarget &target, int sequence, const std::string &state = "ready")
     {
-        return beat(id, reportOf(target, sequence, state).dump());
+        return sendReport(id, reportOf(target, sequence, state).dump());
     }
 
-    Answer beat(const std::string &id, const std::string &report)
+    Answer sendReport(const std::string &id, const std::string &report)
     {
         return operatorCall("/api/Instances.Heartbeat/" + id, report);
     }
@@ -425,7 +425,7 @@
         : system(link, updateLease, acknowledgeTimeout)
     {
         system.putTable("r2", "0");
-        system.beat("i-1", target, 1);
+        system.sendReport("i-1", target, 1);
         REQUIRE(system.becomesReady());
     }
 
@@ -438,7 +438,8 @@
     void drainUntilAcknowledged()
     {
         int sequence = 1;
-        REQUIRE(System::eventually([&] { return system.beat("i-1", target, ++sequence, "draining").status == 200; }));
+        REQUIRE(
+            System::eventually([&] { return system.sendReport("i-1", target, ++sequence, "draining").status == 200; }));
     }
 
     System system;
--- a/unittests/Fleet/TenantsTest.cpp
+++ b/unittests/Fleet/TenantsTest.cpp
@@ -114,7 +114,7 @@
         };
         const nlohmann::json first{{"name", "t1"}, {"apiKeys", nlohmann::json::array({FirstKey, SecondKey})}};
         REQUIRE(System::eventually([&] { return put("r2", "0", listOf({first})) == 200; }));
-        system.beat("i-1", target, 1);
+        system.sendReport("i-1", target, 1);
         REQUIRE(system.becomesReady());
         Caller caller(system);
         CHECK(caller.becomes(200, "/p/x", {{"Api-Key", FirstKey}}));
@@ -166,7 +166,7 @@
         {"name", "t1"}, {"apiKeys", nlohmann::json::array({FirstKey})}, {"ratePerS", 1}, {"burst", 1}};
     REQUIRE(System::eventually(
         [&] { return system.operatorCall("/api/Config.Put", tableWith("r2", listOf({tenant})), "0").status == 200; }));
-    system.beat("i-1", target, 1);
+    system.sendReport("i-1", target, 1);
     REQUIRE(system.becomesReady());
     Caller caller(system);
     // Control hosts hear of what is asked, and tell which part of it may pass.
