--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -65,7 +65,7 @@
     command.version = 9;
     command.text = "{";
     REQUIRE(unreadable.routing.apply(command, 1000) == RoutingResult::Done);
-    serving.system.remember(unreadable);
+    serving.system.writeCache(unreadable);
     serving.system.start();
     int sequence = 1;
     CHECK(System::eventually([&] {
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -286,7 +286,7 @@
     }
 
     /// Replaces what the control host remembers; it must have ended.
-    void remember(const CachedState &remembered) const
+    void writeCache(const CachedState &remembered) const
     {
         writeCachedState(m_control.dataFolder + "/remembered", remembered);
     }
@@ -296,7 +296,7 @@
     {
         std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
         remembered.value().suspects.clear();
-        remember(*remembered);
+        writeCache(*remembered);
     }
 
     std::size_t rememberedTargets() const
