--- a/unittests/EndingRequests/EndingRequestTest.cpp
+++ b/unittests/EndingRequests/EndingRequestTest.cpp
@@ -79,7 +79,7 @@
             const std::lock_guard lock(m_controlMutex);
             m_system.endAll();
             if (forgets) {
-                m_system.forgetSuspects();
+                m_system.clearCachedSuspects();
             }
             m_system.start();
         }
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -292,7 +292,7 @@
     }
 
     /// The control host must have ended.
-    void forgetSuspects() const
+    void clearCachedSuspects() const
     {
         std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
         remembered.value().suspects.clear();
