--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -40,7 +40,7 @@
 {
     ServingSystem serving;
     System &system = serving.system;
-    REQUIRE(System::eventually([&] { return system.rememberedTargets() == 1; }));
+    REQUIRE(System::eventually([&] { return system.cachedTargetCount() == 1; }));
     // What is remembered is told for a while after the start only, which a busy machine may let pass.
     CHECK(System::eventually([&] {
         system.restartAll();
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -299,7 +299,7 @@
         writeCache(*remembered);
     }
 
-    std::size_t rememberedTargets() const
+    std::size_t cachedTargetCount() const
     {
         const std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
         return remembered ? remembered->targets.size() : 0;
