--- a/unittests/EndingRequests/EndingRequestTest.cpp
+++ b/unittests/EndingRequests/EndingRequestTest.cpp
@@ -74,7 +74,7 @@
     /// The control host and one entry host end and start again; `forgets`: without what the disk holds of suspects.
     void restart(bool forgets)
     {
-        REQUIRE(System::eventually([&] { return m_system.rememberedSuspects() == 1; }));
+        REQUIRE(System::eventually([&] { return m_system.cachedSuspectCount() == 1; }));
         {
             const std::lock_guard lock(m_controlMutex);
             m_system.endAll();
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -305,7 +305,7 @@
         return remembered ? remembered->targets.size() : 0;
     }
 
-    std::size_t rememberedSuspects() const
+    std::size_t cachedSuspectCount() const
     {
         const std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
         return remembered ? remembered->suspects.size() : 0;
