--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -92,9 +92,9 @@
     ServingSystem serving;
     System &system = serving.system;
     FakeTarget &target = serving.target;
-    target.answersForAnother = true;
+    target.usesWrongRequestId = true;
     CHECK(system.get(system.gateway->callersAddress(), "/p/x", "q1").status == 502);
-    target.answersForAnother = false;
+    target.usesWrongRequestId = false;
     CHECK(system.get(system.gateway->callersAddress(), "/p/x", "q2").status == 200);
 }
 
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -123,7 +123,7 @@
         }
     }
 
-    std::atomic<bool> answersForAnother{false};
+    std::atomic<bool> usesWrongRequestId{false};
     std::atomic<std::size_t> bodyBytes{0}; ///< length of answers; 0 for a short one
     std::atomic<bool> breaksOff{false}; ///< ends its connection in the middle of an answer
     std::atomic<bool> sheds{false}; ///< answers 503 and runs nothing
@@ -166,7 +166,7 @@
 
     void answer(const HttpExchangePtr &exchange)
     {
-        const std::string id = answersForAnother ? "another" : exchange->request().header("X-Request-Id").value_or("");
+        const std::string id = usesWrongRequestId ? "another" : exchange->request().header("X-Request-Id").value_or("");
         Answer head{200, {{"X-Request-Id", id}, {"X-Upstream-Seal", "seal"}}, {}};
         {
             const std::lock_guard lock(m_mutex);
