--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -108,7 +108,7 @@
     const Answer whole = system.get(system.gateway->callersAddress(), "/p/x", "q1");
     CHECK(whole.status == 200);
     CHECK(whole.body == std::string(Large, 'x'));
-    target.breaksOff = true;
+    target.truncatesAnswers = true;
     HttpCall call;
     call.to = system.gateway->callersAddress();
     call.method = "GET";
@@ -117,7 +117,7 @@
     call.timeout = 5s;
     HttpClient client(1 << 20);
     CHECK(fetchOnce(client, call).kind == HttpResult::Kind::Broken);
-    target.breaksOff = false;
+    target.truncatesAnswers = false;
     CHECK(system.get(system.gateway->callersAddress(), "/p/x", "q3").body.size() == Large);
 }
 
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -125,7 +125,7 @@
 
     std::atomic<bool> usesWrongRequestId{false};
     std::atomic<std::size_t> bodyBytes{0}; ///< length of answers; 0 for a short one
-    std::atomic<bool> breaksOff{false}; ///< ends its connection in the middle of an answer
+    std::atomic<bool> truncatesAnswers{false}; ///< ends its connection in the middle of an answer
     std::atomic<bool> sheds{false}; ///< answers 503 and runs nothing
 
 private:
@@ -172,7 +172,7 @@
             const std::lock_guard lock(m_mutex);
             head.headers.insert(head.headers.end(), m_answerHeaders.begin(), m_answerHeaders.end());
         }
-        if (breaksOff) {
+        if (truncatesAnswers) {
             exchange->begin(head, bodyBytes);
             exchange->more(std::string(bodyBytes / 2, 'x'));
             exchange->abort();
