--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -1,8 +1,9 @@
-//===- pepperlug/Fleet.h - Hosts that find each other -----------*- C++ -*-===//
+//===- pepperlug/Fleet.h - Entry and control hosts --------------*- C++ -*-===//
 //
-// Entry and control hosts of a deployment in which targets and hosts report
-// themselves. What callers, targets and operators speak is a dialect, given as a
-// type; what it reads and writes are the typed messages below.
+// Settings, dialects and daemons of entry and control hosts. Targets and hosts
+// register themselves by reports. A dialect is a type that translates the
+// formats of callers, targets and operators from and to the typed messages
+// below.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -18,10 +19,10 @@
 
 //===-- Settings --------------------------------------------------------------===//
 
-/// Bounds that a deployment sets.
+/// Limits and timeouts that a deployment configures.
 struct FleetBounds {
-    Duration gracePeriod = std::chrono::seconds(6); ///< from SIGTERM to the end
-    Duration acknowledgeTimeout = std::chrono::seconds(4); ///< in which operators expect an answer
+    Duration gracePeriod = std::chrono::seconds(6); ///< from SIGTERM to the end of the process
+    Duration acknowledgeTimeout = std::chrono::seconds(4); ///< within which operators expect an answer
     RetryTerms retries;
     QuotaTerms quotas;
     double maxShift = 0.15;
@@ -33,20 +34,20 @@
     std::string name;
     std::string zone;
     std::map<std::string, std::string> regionOfZone;
-    Address peer; ///< where other hosts connect; its port is the same on all hosts
-    std::optional<Address> peerListen; ///< where this host listens for them, if not at `peer`
-    Address metrics; ///< where the figures are served
+    Address peer; ///< for connections of other hosts; the port is the same on all hosts
+    std::optional<Address> peerListen; ///< where this host listens for other hosts, if not at `peer`
+    Address metrics; ///< where the metrics are served
     std::vector<Address> seeds; ///< operators' addresses of some control hosts
     FleetBounds bounds;
-    Duration updateLease = NewsLease; ///< the same at all hosts
-    Duration firstProbePause = FirstTrialPause; ///< the same at all hosts
+    Duration updateLease = NewsLease; ///< how long others wait for a silent entry host; the same on all hosts
+    Duration firstProbePause = FirstTrialPause; ///< of quarantined requests; the same on all hosts
     unsigned logLinesPerSecond = 0;
     // Entry hosts.
     Address callers;
     Address readiness;
     std::size_t maxBodyBytes = 0;
     std::size_t maxAnswerBytes = 0;
-    std::uint64_t linkBytesPerSecond = 0; ///< of this host's link, both ways together; 0 if it need not be minded
+    std::uint64_t linkBytesPerSecond = 0; ///< bandwidth of the link, both directions together; 0 for unlimited
     BalancePolicy policy;
     // Control hosts.
     Address operators;
@@ -55,58 +56,60 @@
     bool isFirstStart = false;
 };
 
+/// Which kind of host the settings are for.
 enum class FleetRole { Entry, Control };
 
-/// Throws InvalidInput with every finding.
+/// Parses the settings of a host. Throws InvalidInput with all findings.
 FleetSettings parseFleetSettings(const std::string &text, const std::string &file, FleetRole role);
 
-//===-- What callers and targets speak ----------------------------------------===//
+//===-- Messages of callers and targets -----------------------------------===//
 
-/// What an entry host reads in a caller's request.
+/// Fields of a caller's request that an entry host uses.
 struct CallerRequestFields {
-    std::string requestId; ///< empty: none was given
+    std::string requestId; ///< empty if not given
     std::string host;
     std::string path;
-    std::string affinityKey; ///< empty: none
-    std::string caller; ///< what the caller says of who it is, the same with each try; empty: nothing
-    std::optional<Duration> deadline; ///< time that the caller will wait
-    std::string keyDigest; ///< digestOfSecret() of the one key that it shows; empty: none, or none that can be one
+    std::string affinityKey; ///< empty if not given
+    std::string caller; ///< the caller's statement of its identity, the same in each retry; empty if not given
+    std::optional<Duration> deadline; ///< how long the caller waits
+    std::string keyDigest; ///< digestOfSecret() of the key; empty if there is none, several, or an invalid one
 };
 
-/// What a request tells a target besides what its caller sent.
+/// Fields that an entry host adds to a request for a target.
 struct TargetRequestFields {
-    std::string target; ///< incarnation that is meant
+    std::string target; ///< expected incarnation
     Duration timeLeft{};
-    bool hasTenants = false; ///< the caller's key and what it says of its tenant are left out
-    std::string tenant; ///< in whose name it asks; empty: nobody's
+    bool hasTenants = false; ///< true: the caller's key and tenant headers are removed
+    std::string tenant; ///< tenant of the request; empty if none
 };
 
-/// What the head and status of a target's answer say.
+/// Fields of the status and head of a target's answer.
 struct AnswerFields {
-    bool isExecuted = true; ///< the target does not say that it left the request alone
-    bool isWrongTarget = false; ///< another incarnation is at the address
-    bool hasRequiredFields = true; ///< bears what every answer must bear
+    bool isExecuted = true; ///< false if the target states that it did not execute the request
+    bool isWrongTarget = false; ///< another incarnation uses the address
+    bool hasRequiredFields = true; ///< has all headers that each answer must have
     std::optional<TargetLoad> load;
     BackpressureSignal backpressure;
 };
 
-/// An answer of our own.
+/// Fields of a refusal that an entry host sends itself.
 struct RefusalFields {
     std::string requestId;
     Refusal reason{};
     Milliseconds retryAfter{};
 };
 
+/// Translates between callers', targets' and entry hosts' messages. See CallerDialectTable.
 template <typename T>
 concept CallerDialect = requires(const HttpRequest &request, const Answer &answer,
                                  const std::vector<HeaderField> &headers, const std::string &text,
-                                 const TargetRequestFields &terms, const RefusalFields &refusal)
+                                 const TargetRequestFields &fields, const RefusalFields &refusal)
 {
     {
         T::readRequest(request)
         } -> std::same_as<CallerRequestFields>;
     {
-        T::targetHeaders(headers, terms)
+        T::targetHeaders(headers, fields)
         } -> std::same_as<std::vector<HeaderField>>;
     {
         T::answersRequest(headers, text)
@@ -122,16 +125,16 @@
         } -> std::same_as<bool>;
 };
 
-/// The functions of a dialect, for code that is compiled once.
+/// Function pointers of a caller dialect, so that the daemon isn't a template.
 struct CallerDialectTable {
     CallerRequestFields (*readRequest)(const HttpRequest &request);
-    /// Headers for a target: the caller's, and those of the terms.
+    /// Returns the headers for a target: those of the caller, and the given fields.
     std::vector<HeaderField> (*targetHeaders)(const std::vector<HeaderField> &headers,
-                                              const TargetRequestFields &terms);
-    /// Whether the head of an answer belongs to the request with this id.
+                                              const TargetRequestFields &fields);
+    /// Returns true if the head of an answer belongs to the request with this id.
     bool (*answersRequest)(const std::vector<HeaderField> &headers, const std::string &requestId);
     AnswerFields (*readAnswer)(const Answer &answer);
-    Answer (*refusal)(const RefusalFields &terms);
+    Answer (*refusal)(const RefusalFields &fields);
     bool (*isReadinessCheck)(const HttpRequest &request);
 };
 
@@ -141,47 +144,54 @@
     return {&T::readRequest, &T::targetHeaders, &T::answersRequest, &T::readAnswer, &T::refusal, &T::isReadinessCheck};
 }
 
-//===-- What targets and operators say to control hosts ------------------------===//
+//===-- Messages of targets and operators ---------------------------------===//
 
+/// A target reports its presence.
 struct ReportTarget {
-    TargetReport report; ///< with presence Gone only the id and the start count
+    TargetReport report; ///< with presence Gone only the id and the start time are set
 };
 
+/// An operator replaces the routing table of `baseVersion`.
 struct PutTable {
     std::uint64_t baseVersion = 0;
     std::string text;
 };
 
+/// An operator reads the routing table.
 struct GetTable {
 };
 
+/// An operator evacuates a zone, or ends its evacuation.
 struct SetEvacuation {
     std::string zone;
     bool isEvacuated = false;
 };
 
+/// A caller's directory lookup from a zone.
 struct FindEntryHosts {
     std::string zone;
 };
 
-/// A call that the dialect does not know or can't read.
+/// A request that the dialect doesn't know or can't parse.
 struct UnknownCall {
     bool isKnownPath = false;
     std::string reason;
 };
 
+/// A request to a control host.
 using ControlRequest = std::variant<ReportTarget, PutTable, GetTable, SetEvacuation, FindEntryHosts, UnknownCall>;
 
-/// How a control host answers.
+/// Outcome of a request to a control host.
 enum class ControlAnswer : std::uint8_t {
     Done,
     Conflict, ///< another version is in force
     Invalid, ///< with findings
-    Redirect, ///< with the address of the control host to ask
-    Unavailable, ///< can't be promised now
-    Unknown, ///< no such call
+    Redirect, ///< with the address of the leading control host
+    Unavailable, ///< can't be guaranteed now
+    Unknown, ///< no such request
 };
 
+/// Translates between targets', operators' and control hosts' messages. See ControlDialectTable.
 template <typename T>
 concept ControlDialect = requires(const HttpRequest &request, ControlAnswer answer, const std::string &text,
                                   const std::vector<std::string> &texts, Milliseconds time)
@@ -206,13 +216,14 @@
         } -> std::same_as<RouteTable>;
 };
 
+/// Function pointers of a control dialect, so that the daemon isn't a template.
 struct ControlDialectTable {
     ControlRequest (*readControlRequest)(const HttpRequest &request);
     Answer (*controlAnswer)(ControlAnswer answer, const std::string &reason);
     Answer (*redirect)(const HttpRequest &request, const std::string &address);
     Answer (*tableAnswer)(const std::string &text);
     Answer (*entryHosts)(const std::vector<std::string> &addresses, Milliseconds timeToLive);
-    /// Throws Error or InvalidInput.
+    /// Parses a routing table. Throws Error or InvalidInput.
     RouteTable (*readTable)(const std::string &text);
 };
 
@@ -224,7 +235,7 @@
 
 //===-- Daemons ---------------------------------------------------------------===//
 
-/// An entry host: takes callers' requests and passes them to targets.
+/// An entry host: receives callers' requests and routes them to targets.
 class GatewayDaemon
 {
 public:
@@ -233,9 +244,9 @@
     GatewayDaemon(const GatewayDaemon &) = delete;
     GatewayDaemon &operator=(const GatewayDaemon &) = delete;
 
-    /// New settings: only the seeds and the bounds are taken over while running.
+    /// Applies new seeds. All other settings need a restart.
     void reload(const FleetSettings &settings);
-    /// Leaves as planned; returns when the process may end.
+    /// Leaves the fleet gracefully; returns when the process may exit.
     void stopGracefully();
     Address callersAddress() const;
     Address readinessAddress() const;
@@ -245,7 +256,7 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// A control host: the registry, the routing that is agreed on, and the directory of entry hosts.
+/// A control host: the registry, the replicated routing state, and the directory of entry hosts.
 class RegistryDaemon
 {
 public:
@@ -254,8 +265,9 @@
     RegistryDaemon(const RegistryDaemon &) = delete;
     RegistryDaemon &operator=(const RegistryDaemon &) = delete;
 
+    /// Applies new seeds and bounds. All other settings need a restart.
     void reload(const FleetSettings &settings);
-    /// Gives its membership and its reports up; returns when the process may end.
+    /// Announces its departure from the fleet; returns when the process may exit.
     void stopGracefully();
     Address operatorsAddress() const;
     Address directoryAddress() const;
--- a/lib/Fleet/Settings.cpp
+++ b/lib/Fleet/Settings.cpp
@@ -1,4 +1,4 @@
-//===- Settings.cpp - Settings of hosts that find each other --------------===//
+//===- Settings.cpp - Settings of entry and control hosts -----------------===//
 #include "pepperlug/Fleet.h"
 
 namespace pepperlug::fleet
@@ -113,7 +113,7 @@
     }
     reader.finish();
     if (!settings.regionOfZone.contains(settings.zone) && findings.empty()) {
-        findings.push_back({file, "zone", "\"" + settings.zone + "\" is not among the zones"});
+        findings.push_back({file, "zone", "\"" + settings.zone + "\" is not a name in \"zones\""});
     }
     if (!findings.empty()) {
         throw InvalidInput(findings);
