--- a/lib/Fleet/ControlLog.cpp
+++ b/lib/Fleet/ControlLog.cpp
@@ -8,14 +8,14 @@
 {
 
 constexpr Milliseconds TickInterval{30};
-constexpr const char *FoundingDisk = "initial";
+constexpr const char *InitialDiskId = "initial";
 
-std::vector<ControlMember> foundingMembers(const std::vector<std::string> &initialMembers)
+std::vector<ControlMember> initialMembersOf(const std::vector<std::string> &initialMembers)
 {
     std::vector<ControlMember> members;
     members.reserve(initialMembers.size());
     for (const std::string &name : initialMembers) {
-        members.push_back({name, FoundingDisk, true});
+        members.push_back({name, InitialDiskId, true});
     }
     return members;
 }
@@ -42,9 +42,9 @@
     ConsensusSettings consensus;
     consensus.name = m_settings.name;
     consensus.diskId = m_diskId;
-    // Whoever did not found the group learns its members from the log.
-    if (m_diskId == FoundingDisk) {
-        consensus.members = foundingMembers(m_settings.initialMembers);
+    // Other hosts learn the members from the log.
+    if (m_diskId == InitialDiskId) {
+        consensus.members = initialMembersOf(m_settings.initialMembers);
     }
     consensus.heartbeat = m_settings.heartbeat;
     consensus.electionTimeout = m_settings.electionTimeout;
@@ -77,7 +77,7 @@
     {
         const std::lock_guard lock(m_mutex);
         const std::uint64_t token = ++m_lastToken;
-        m_waiting[token] = std::move(handler);
+        m_handlers[token] = std::move(handler);
         m_queue.emplace_back(CommandProposed{token, std::move(command)});
     }
     m_wake.notify_one();
@@ -147,7 +147,8 @@
     }
 }
 
-// All that is to be stored goes first, in its order: storing early is always safe, telling early never.
+// Persists all records in their order before any message of the batch is sent. Storing early is always safe, sending
+// early never.
 void ControlLog::persist(const ControlEffects &effects)
 {
     for (const ControlEffect &effect : effects) {
@@ -162,7 +163,7 @@
 
 void ControlLog::carryOut(const PersistLog &)
 {
-    // Done by persist().
+    // Written by persist().
 }
 
 void ControlLog::carryOut(const PersistSnapshot &effect)
@@ -192,10 +193,10 @@
     if (placed == m_placed.end()) {
         return;
     }
-    const Place place = placed->second;
+    const PlacedProposal place = placed->second;
     m_placed.erase(placed);
     const bool isOurs = place.term == entry.term && entry.kind == EntryKind::Command;
-    end(place.token, {isOurs, result, {}});
+    complete(place.token, {isOurs, result, {}});
 }
 
 void ControlLog::carryOut(const CommandPlaced &effect)
@@ -205,7 +206,7 @@
 
 void ControlLog::carryOut(const CommandRejected &effect)
 {
-    end(effect.token, {false, {}, effect.leader});
+    complete(effect.token, {false, {}, effect.leader});
 }
 
 void ControlLog::carryOut(const RoleChanged &effect)
@@ -213,26 +214,27 @@
     if (effect.role == ControlRole::Leader) {
         return;
     }
-    // Whether these were decided is not known here any more; the same command again is safe.
-    const std::map<std::uint64_t, Place> placed = std::exchange(m_placed, {});
+    // This host doesn't learn any more whether these proposals were committed. Proposing the same command again is
+    // safe.
+    const std::map<std::uint64_t, PlacedProposal> placed = std::exchange(m_placed, {});
     for (const auto &[index, place] : placed) {
-        end(place.token, {false, {}, effect.leader});
+        complete(place.token, {false, {}, effect.leader});
     }
 }
 
-void ControlLog::end(std::uint64_t token, const ProposalResult &fate)
+void ControlLog::complete(std::uint64_t token, const ProposalResult &result)
 {
     ProposalHandler handler;
     {
         const std::lock_guard lock(m_mutex);
-        const auto it = m_waiting.find(token);
-        if (it == m_waiting.end()) {
+        const auto it = m_handlers.find(token);
+        if (it == m_handlers.end()) {
             return;
         }
         handler = std::move(it->second);
-        m_waiting.erase(it);
+        m_handlers.erase(it);
     }
-    handler(fate);
+    handler(result);
 }
 
 void ControlLog::publishStatus()
@@ -246,14 +248,14 @@
     const TimePoint now = m_clock.now();
     status.readsAllowed = m_consensus->canRead(now);
     status.members = m_consensus->members();
-    bool isNew = false;
+    bool hasChanged = false;
     {
         const std::lock_guard lock(m_mutex);
-        isNew = status.role != m_status.role || status.leader != m_status.leader || status.members != m_status.members
-            || status.readsAllowed != m_status.readsAllowed;
+        hasChanged = status.role != m_status.role || status.leader != m_status.leader
+            || status.members != m_status.members || status.readsAllowed != m_status.readsAllowed;
         m_status = status;
     }
-    if (isNew) {
+    if (hasChanged) {
         m_client.statusChanged(status);
     }
 }
