--- a/lib/Fleet/ControlWatch.cpp
+++ b/lib/Fleet/ControlWatch.cpp
@@ -1,4 +1,4 @@
-//===- ControlWatch.cpp - A host that follows control hosts ---------------===//
+//===- ControlWatch.cpp - Long polling of control hosts -------------------===//
 #include "ControlWatch.h"
 #include "PeerReplies.h"
 
@@ -10,18 +10,20 @@
 namespace
 {
 
-/// How long nothing may come from the asked host besides the time for which it holds the reply back.
-constexpr Milliseconds ReplyTime{700};
-constexpr Milliseconds PauseAfterFailure{150};
-/// Between two signs of life while a reply is on its way: three fit into the time after which a host is not waited for.
-constexpr Milliseconds SignInterval{600};
+/// Time without a byte from the polled host after which a request fails, beyond the time for which the reply may be
+/// held.
+constexpr Milliseconds ReplyTimeout{700};
+constexpr Milliseconds RetryDelay{150};
+/// Between two heartbeats while a reply is pending. Three fit into the lease, after which other hosts no longer wait
+/// for this one.
+constexpr Milliseconds HeartbeatInterval{600};
 
 } // namespace
 
-ControlWatch::ControlWatch(PeerNet &net, const Clock &clock, Milliseconds patience, Hooks hooks)
+ControlWatch::ControlWatch(PeerNet &net, const Clock &clock, Milliseconds maxWait, Hooks hooks)
     : m_net(net)
     , m_clock(clock)
-    , m_patience(patience)
+    , m_maxWait(maxWait)
     , m_hooks(std::move(hooks))
 {
 }
@@ -32,7 +34,7 @@
     if (it == candidates.end()) {
         return candidates.front();
     }
-    if (!m_moveOn) {
+    if (!m_mustSwitchHost) {
         return m_control;
     }
     return std::next(it) == candidates.end() ? candidates.front() : *std::next(it);
@@ -40,22 +42,22 @@
 
 void ControlWatch::poll(TimePoint now)
 {
-    std::optional<Address> waitsFor;
+    std::optional<Address> pendingHost;
     {
         const std::lock_guard lock(m_mutex);
         m_now = now;
-        if (m_isAsking && now - m_signAt < SignInterval) {
+        if (m_isPolling && now - m_lastSentAt < HeartbeatInterval) {
             return;
         }
-        if (m_isAsking) {
-            m_signAt = now;
-            waitsFor = m_control;
-        } else if (now < m_notBefore) {
+        if (m_isPolling) {
+            m_lastSentAt = now;
+            pendingHost = m_control;
+        } else if (now < m_nextPollAt) {
             return;
         }
     }
-    if (waitsFor) {
-        giveSign(*waitsFor);
+    if (pendingHost) {
+        sendHeartbeat(*pendingHost);
         return;
     }
     const std::vector<Address> candidates = m_hooks.candidates();
@@ -74,13 +76,13 @@
             m_loadsSince = 0;
         }
         m_control = to;
-        m_moveOn = false;
-        m_isAsking = true;
+        m_mustSwitchHost = false;
+        m_isPolling = true;
     }
-    ask(to);
+    sendPoll(to);
 }
 
-FleetWatchCall ControlWatch::describe(const Address &to) const
+FleetWatchCall ControlWatch::makeCall(const Address &to) const
 {
     std::string epoch;
     {
@@ -97,72 +99,72 @@
     return call;
 }
 
-// A reply that takes its time on a full link must not make this host look dead: it goes on acting upon what it knows,
-// so whatever is acknowledged has to wait for it.
-void ControlWatch::giveSign(const Address &to)
+// A reply that takes long on a full link must not make this host look dead: it still acts on what it knows, so
+// acknowledgements have to wait for it.
+void ControlWatch::sendHeartbeat(const Address &to)
 {
-    m_net.call(to, path::FleetAlive, encode(describe(to)), ReplyTime, [](const PeerReply &) {});
+    m_net.call(to, path::FleetAlive, encode(makeCall(to)), ReplyTimeout, [](const PeerReply &) {});
 }
 
-void ControlWatch::ask(const Address &to)
+void ControlWatch::sendPoll(const Address &to)
 {
-    FleetWatchCall call = describe(to);
+    FleetWatchCall call = makeCall(to);
     std::uint64_t number = 0;
     {
         const std::lock_guard lock(m_mutex);
-        // What was lost may have been lost for a while: it is asked for without waiting.
-        call.maxWait = m_isLost ? Milliseconds(0) : m_patience;
-        number = ++m_askNumber;
-        m_askedAt = m_clock.now();
-        m_signAt = m_askedAt;
+        // This host may have missed updates for a while, so the reply must not be held.
+        call.maxWait = m_isLost ? Milliseconds(0) : m_maxWait;
+        number = ++m_pollNumber;
+        m_polledAt = m_clock.now();
+        m_lastSentAt = m_polledAt;
     }
     const CallId id = m_net.call(
-        to, path::FleetWatch, encode(call), m_patience + ReplyTime,
+        to, path::FleetWatch, encode(call), m_maxWait + ReplyTimeout,
         [this, to, number](const PeerReply &reply) { onReply(to, number, reply); }, CallLimit::Silence);
     const std::lock_guard lock(m_mutex);
-    if (number == m_askNumber) {
-        m_call = id;
+    if (number == m_pollNumber) {
+        m_callId = id;
     }
 }
 
 void ControlWatch::onReply(const Address &from, std::uint64_t number, const PeerReply &reply)
 {
-    const auto [news, reason] = readReply<FleetWatchReply>(reply, from.text());
+    const auto [message, reason] = readReply<FleetWatchReply>(reply, from.text());
     bool linkChanged = false;
-    ReplyInfo receipt{from, {}, {}, reply.body.size()};
+    ReplyInfo info{from, {}, {}, reply.body.size()};
     {
         const std::lock_guard lock(m_mutex);
-        if (number != m_askNumber) {
+        if (number != m_pollNumber) {
             return;
         }
-        receipt.sentAt = m_askedAt;
-        receipt.elapsed = m_clock.now() - m_askedAt;
-        const bool wasHurried = !news && reason == "cancelled";
-        if (!wasHurried) {
-            linkChanged = m_isLost != !news;
-            m_isLost = !news;
-            // A host without a majority may not know what the others agreed on.
-            m_moveOn = !news || !news->isCurrent;
-            m_notBefore = m_moveOn ? m_now + PauseAfterFailure : TimePoint{};
+        info.sentAt = m_polledAt;
+        info.elapsed = m_clock.now() - m_polledAt;
+        const bool wasCancelled = !message && reason == "cancelled";
+        if (!wasCancelled) {
+            linkChanged = m_isLost != !message;
+            m_isLost = !message;
+            // A host without a majority may lack committed changes.
+            m_mustSwitchHost = !message || !message->isCurrent;
+            m_nextPollAt = m_mustSwitchHost ? m_now + RetryDelay : TimePoint{};
         }
     }
     if (linkChanged) {
-        m_hooks.onLink(from, !news, reason);
+        m_hooks.onLink(from, !message, reason);
     }
-    bool isAllTaken = true;
-    if (news) {
-        isAllTaken = m_hooks.onReply(receipt, *news);
+    bool isFullyApplied = true;
+    if (message) {
+        isFullyApplied = m_hooks.onReply(info, *message);
     }
     const std::lock_guard lock(m_mutex);
-    if (news) {
-        // Only now may an ask or a sign of life say that this host acts upon it.
-        m_epoch = news->epoch;
-        m_since = isAllTaken ? news->version : 0;
-        m_suspectsSince = news->suspects.version;
-        m_backpressureSince = news->backpressure.version;
-        m_loadsSince = news->loadsVersion;
+    if (message) {
+        // Requests and heartbeats may confirm the reply only now that it is applied.
+        m_epoch = message->epoch;
+        m_since = isFullyApplied ? message->version : 0;
+        m_suspectsSince = message->suspects.version;
+        m_backpressureSince = message->backpressure.version;
+        m_loadsSince = message->loadsVersion;
     }
-    m_isAsking = false;
+    m_isPolling = false;
 }
 
 void ControlWatch::restartPoll()
@@ -170,10 +172,10 @@
     CallId id{};
     {
         const std::lock_guard lock(m_mutex);
-        if (!m_isAsking) {
+        if (!m_isPolling) {
             return;
         }
-        id = m_call;
+        id = m_callId;
     }
     m_net.cancel(id);
 }
--- a/lib/Fleet/ControlWatch.h
+++ b/lib/Fleet/ControlWatch.h
@@ -1,9 +1,9 @@
-//===- ControlWatch.h - A host that follows control hosts -------*- C++ -*-===//
+//===- ControlWatch.h - Long polling of control hosts -----------*- C++ -*-===//
 //
-// Asks one control host again and again for what is new; the reply is held back
-// until there is something, so that news travels at once. Each ask also says that
-// the asker lives. When the control host fails or has lost its majority, the next
-// one is asked.
+// Polls one control host for updates. The control host holds the reply until
+// there is an update, so that updates arrive at once. Each poll also serves as
+// a heartbeat of this host. When the control host fails or has lost its
+// majority, the next one is polled.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -14,47 +14,49 @@
 namespace pepperlug::fleet
 {
 
-/// How a reply came in.
+/// Metadata of a reply.
 struct ReplyInfo {
     Address from;
-    TimePoint sentAt{}; ///< what it does not tell may have happened since then
-    Duration elapsed{}; ///< from the ask to the reply, the time for which it was held back included
-    std::size_t bytes = 0; ///< of its body
+    TimePoint sentAt{}; ///< when the request was sent; the reply may lack events since then
+    Duration elapsed{}; ///< from the request to the reply, including the time for which the reply was held
+    std::size_t bytes = 0; ///< length of the body
 };
 
+/// Polls one control host at a time, and switches to another one when it fails.
 class ControlWatch
 {
 public:
     struct Hooks {
-        /// What this host says of itself to another one, whose life the epoch names: its report with a new sequence
-        /// number, the routing that it has, and what it confirms.
+        /// Returns the state of this host for another host, whose incarnation the epoch names: its report with a new
+        /// sequence number, its routing index, and its confirmations.
         std::function<FleetWatchCall(const Address &to, const std::string &epoch)> makeCall;
-        std::function<std::vector<Address>()> candidates; ///< control hosts in the order of preference
-        /// Takes a reply over; the next ask tells that it was. False: something in it needs all that the asked host
-        /// knows.
-        std::function<bool(const ReplyInfo &receipt, const FleetWatchReply &reply)> onReply;
+        std::function<std::vector<Address>()> candidates; ///< control hosts by preference, best first
+        /// Applies a reply; the next request confirms it. Returns false if it refers to state that this host lacks, so
+        /// that the next request has to ask for the full state.
+        std::function<bool(const ReplyInfo &info, const FleetWatchReply &reply)> onReply;
+        /// Called when the connection to a control host is lost or regained.
         std::function<void(const Address &peer, bool isLost, const std::string &reason)> onLink;
     };
 
-    /// `patience`: how long a reply may be held back.
-    ControlWatch(PeerNet &net, const Clock &clock, Milliseconds patience, Hooks hooks);
+    /// `maxWait`: the longest time for which a reply may be held.
+    ControlWatch(PeerNet &net, const Clock &clock, Milliseconds maxWait, Hooks hooks);
 
-    /// Asks now if no ask is on its way and the pause after a failure is over, and gives signs of life while one is; to
-    /// be called regularly.
+    /// Sends a request if none is pending and the delay after a failure is over; sends heartbeats while one is pending.
+    /// Must be called regularly.
     void poll(TimePoint now);
-    /// Ends the ask that is on its way, so that the next poll tells the newest report.
+    /// Cancels the pending request, so that the next poll() sends the newest report.
     void restartPoll();
 
 private:
-    void ask(const Address &to);
-    void giveSign(const Address &to);
-    FleetWatchCall describe(const Address &to) const;
+    void sendPoll(const Address &to);
+    void sendHeartbeat(const Address &to);
+    FleetWatchCall makeCall(const Address &to) const;
     void onReply(const Address &from, std::uint64_t number, const PeerReply &reply);
     Address next(const std::vector<Address> &candidates) const;
 
     PeerNet &m_net;
     const Clock &m_clock;
-    Milliseconds m_patience;
+    Milliseconds m_maxWait;
     Hooks m_hooks;
     mutable std::mutex m_mutex;
     Address m_control;
@@ -63,14 +65,14 @@
     std::uint64_t m_suspectsSince = 0;
     std::uint64_t m_backpressureSince = 0;
     std::uint64_t m_loadsSince = 0;
-    bool m_isAsking = false;
+    bool m_isPolling = false;
     bool m_isLost = true;
-    bool m_moveOn = true; ///< another control host is to be asked next
-    std::uint64_t m_askNumber = 0;
-    TimePoint m_askedAt{};
-    TimePoint m_signAt{}; ///< of the last ask or sign of life
-    CallId m_call{};
-    TimePoint m_notBefore{};
+    bool m_mustSwitchHost = true; ///< poll the next control host
+    std::uint64_t m_pollNumber = 0;
+    TimePoint m_polledAt{};
+    TimePoint m_lastSentAt{}; ///< when the last request or heartbeat was sent
+    CallId m_callId{};
+    TimePoint m_nextPollAt{};
     TimePoint m_now{};
 };
 
