--- a/lib/Fleet/EventLog.cpp
+++ b/lib/Fleet/EventLog.cpp
@@ -1,4 +1,4 @@
-//===- EventLog.cpp - Decision lines on standard output -------------------===//
+//===- EventLog.cpp - JSON event lines on standard output -----------------===//
 #include "EventLog.h"
 
 namespace pepperlug::fleet
@@ -8,7 +8,7 @@
 {
 
 constexpr auto RateWindow = std::chrono::seconds(1);
-constexpr std::size_t QueuedLines = 4096;
+constexpr std::size_t MaxQueuedLines = 4096;
 
 } // namespace
 
@@ -16,7 +16,7 @@
     : m_process(process)
     , m_clock(clock)
     , m_linesPerSecond(linesPerSecond)
-    , m_sink("events", "-", QueuedLines)
+    , m_sink("events", "-", MaxQueuedLines)
 {
 }
 
@@ -36,19 +36,19 @@
     return m_dropped + m_sink.dropped();
 }
 
-void EventLog::write(const char *kind, const char *what, const nlohmann::json &fields, bool mayDrop)
+void EventLog::write(const char *kind, const char *what, const nlohmann::json &fields, bool isDroppable)
 {
-    std::uint64_t untold = 0;
+    std::uint64_t newlyDropped = 0;
     {
         const std::lock_guard lock(m_mutex);
         const TimePoint now = m_clock.now();
-        if (now - m_second >= RateWindow) {
-            m_second = now;
+        if (now - m_windowStart >= RateWindow) {
+            m_windowStart = now;
             m_lines = 0;
-            untold = m_dropped - m_toldDropped;
-            m_toldDropped = m_dropped;
+            newlyDropped = m_dropped - m_reportedDropped;
+            m_reportedDropped = m_dropped;
         }
-        if (mayDrop && m_lines >= m_linesPerSecond) {
+        if (isDroppable && m_lines >= m_linesPerSecond) {
             ++m_dropped;
             return;
         }
@@ -56,8 +56,8 @@
     }
     nlohmann::json line{{"at_ms", m_clock.wallTime().count()}, {"process", m_process}, {"kind", kind}, {"what", what}};
     line.update(fields);
-    if (untold > 0) {
-        line["lines_dropped"] = untold;
+    if (newlyDropped > 0) {
+        line["lines_dropped"] = newlyDropped;
     }
     m_sink.writeLater(
         [line = std::move(line)] { return line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace); });
--- a/lib/Fleet/EventLog.h
+++ b/lib/Fleet/EventLog.h
@@ -1,8 +1,8 @@
-//===- EventLog.h - Decision lines on standard output -----------*- C++ -*-===//
+//===- EventLog.h - JSON event lines on standard output ---------*- C++ -*-===//
 //
-// One JSON line for each decision and each change of state. The volume is bounded:
-// lines past the rate are counted, and the count is told with the next second's
-// first line. Changes of state are never left out for decisions.
+// One JSON line for each decision and each state change. The rate is limited:
+// decisions beyond it are counted and dropped, and the count is in the first
+// line of the next second. State changes are never dropped for the rate.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -12,30 +12,31 @@
 namespace pepperlug::fleet
 {
 
+/// Rate-limited log of decisions and state changes.
 class EventLog
 {
 public:
     EventLog(const std::string &process, const Clock &clock, unsigned linesPerSecond);
 
-    /// A decision that touches a request.
+    /// Logs a decision about a request; may be dropped.
     void decision(const char *what, const nlohmann::json &fields);
-    /// A change of what the process believes, its start or its stop.
+    /// Logs a state change of the process, such as its start or stop.
     void state(const char *what, const nlohmann::json &fields);
-    /// Lines that were left out so far.
+    /// Returns the number of lines dropped so far.
     std::uint64_t dropped() const;
 
 private:
-    void write(const char *kind, const char *what, const nlohmann::json &fields, bool mayDrop);
+    void write(const char *kind, const char *what, const nlohmann::json &fields, bool isDroppable);
 
     std::string m_process;
     const Clock &m_clock;
     unsigned m_linesPerSecond;
     LogSink m_sink;
     mutable std::mutex m_mutex;
-    TimePoint m_second{};
+    TimePoint m_windowStart{};
     unsigned m_lines = 0;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_toldDropped = 0;
+    std::uint64_t m_reportedDropped = 0;
 };
 
 } // namespace pepperlug::fleet
--- a/lib/Fleet/FleetMessages.h
+++ b/lib/Fleet/FleetMessages.h
@@ -1,4 +1,4 @@
-//===- FleetMessages.h - What hosts of a fleet say to each other -*- C++ -*-===//
+//===- FleetMessages.h - Messages between hosts of a fleet ------*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Backpressure.h"
@@ -19,41 +19,43 @@
 namespace pepperlug::fleet
 {
 
-/// What a host tells another one from a table that hosts keep together, and asks of the other one's.
+/// Updates of a shared table that a host sends to another one, and the version from which on it requests updates.
 template <typename Report>
 struct UpdateOffer {
-    std::uint64_t since = 0; ///< version of the asked host's table that the asker has
-    /// By an entry host: what it noticed since it was told that the asked host has the rest; all that it knows where
-    /// the asked host has nothing of it yet.
+    std::uint64_t since = 0; ///< version of the receiver's table that the sender has
+    /// From an entry host: the events that it has noticed and that the receiver has not acknowledged; the whole table
+    /// if the receiver's incarnation has not acknowledged any.
     std::vector<Report> reports;
-    std::uint64_t version = 0; ///< version of the asker's table that the asked host has with them
+    std::uint64_t version = 0; ///< version of the sender's table, including `reports`
     MSGPACK_DEFINE(since, reports, version);
 };
 
-/// What is replied to a UpdateOffer.
+/// Reply to an UpdateOffer.
 template <typename Report>
 struct UpdateReply {
-    std::vector<Report> reports; ///< that changed since UpdateOffer::since
-    std::uint64_t version = 0; ///< of the told host's table
-    std::uint64_t acknowledged = 0; ///< UpdateOffer::version of the ask
+    std::vector<Report> reports; ///< changed since UpdateOffer::since
+    std::uint64_t version = 0; ///< of the replying host's table
+    std::uint64_t acknowledged = 0; ///< UpdateOffer::version of the request
     MSGPACK_DEFINE(reports, version, acknowledged);
 };
 
-/// Body of path::FleetWatch: a host says that it lives and asks for what it has not got yet. Also of path::FleetAlive,
-/// which says the same and asks for nothing, while the reply to an ask is still on its way.
+/// Body of path::FleetWatch: a heartbeat, and a poll for updates. Also the body of path::FleetAlive, a heartbeat
+/// without a poll that is sent while a reply is pending.
 struct FleetWatchCall {
     HostReport self;
-    std::string epoch; ///< of the asked host's registry, as known to the asker; empty at first
-    std::uint64_t since = 0; ///< registry version that the asker has
-    std::uint64_t routingIndex = 0; ///< log index of the routing that the asker has
-    std::uint64_t newestRoutingIndex = 0; ///< of the newest routing that it has heard of; if later, it is being fetched
-    Milliseconds maxWait{}; ///< how long the reply may be held back
-    /// By a control host: news of the asked host that it and all its followers have. By an entry host: the log index
-    /// such that it decides nothing by an older routing.
+    std::string epoch; ///< of the receiver's registry, as known to the sender; empty at first
+    std::uint64_t since = 0; ///< registry version that the sender has
+    std::uint64_t routingIndex = 0; ///< log index of the routing that the sender has
+    /// Log index of the newest routing advertised to the sender; if higher than routingIndex, the sender is fetching
+    /// it.
+    std::uint64_t newestRoutingIndex = 0;
+    Milliseconds maxWait{}; ///< longest time for which the reply may be held
+    /// From a control host: the version and index of the receiver's state that the sender and all its followers have.
+    /// From an entry host: the log index of the oldest routing by which it decides.
     NewsPosition confirmed;
-    UpdateOffer<SuspectReport> suspects; ///< requests under which targets ended
-    UpdateOffer<BackpressureReport> backpressure; ///< what targets ask for in their answers
-    std::uint64_t loadsSince = 0; ///< version of the asked host's QuotaSums that the asker has
+    UpdateOffer<SuspectReport> suspects; ///< requests under which targets crashed
+    UpdateOffer<BackpressureReport> backpressure; ///< rate limits and departures advertised in targets' answers
+    std::uint64_t loadsSince = 0; ///< version of the receiver's QuotaSums that the sender has
     MSGPACK_DEFINE(self, epoch, since, routingIndex, newestRoutingIndex, maxWait, confirmed, suspects, backpressure,
                    loadsSince);
 };
@@ -62,27 +64,28 @@
 struct FleetWatchReply {
     std::string epoch;
     std::uint64_t version = 0;
-    bool isCurrent = false; ///< the replying host is in touch with a majority
+    bool isCurrent = false; ///< the replying host has contact to a majority
     RegistryChanges changes;
-    bool isWhole = false; ///< `changes` holds all that the replying host knows
-    std::vector<RegionDemand> demand; ///< for entry hosts: load of all regions
-    std::vector<TargetReport> cachedTargets; ///< for entry hosts that know nothing: from before the told host's restart
+    bool isWhole = false; ///< `changes` is the full state of the replying host
+    std::vector<RegionDemand> demand; ///< for entry hosts: demand of all regions
+    /// For entry hosts without state: targets known before the restart of the replying host.
+    std::vector<TargetReport> cachedTargets;
     std::uint64_t routingIndex = 0; ///< for entry hosts: log index of the newest routing
-    /// For entry hosts that have an older one: what changed since, where it is short; a long one is asked for apart, so
-    /// that nothing else queues behind it.
+    /// For entry hosts with an older routing: the changes since, if they are short. Long changes are fetched
+    /// separately, so that other updates don't queue behind them.
     std::vector<std::string> routingChanges;
     UpdateReply<SuspectReport> suspects;
     UpdateReply<BackpressureReport> backpressure;
-    std::uint64_t loadsVersion = 0; ///< for entry hosts: version of the told host's QuotaSums
-    std::vector<TenantLoad> loads; ///< for entry hosts: all of them, where the asker has another version
+    std::uint64_t loadsVersion = 0; ///< for entry hosts: version of the replying host's QuotaSums
+    std::vector<TenantLoad> loads; ///< for entry hosts: all loads, if the requester has another version
     MSGPACK_DEFINE(epoch, version, isCurrent, changes, isWhole, demand, cachedTargets, routingIndex, routingChanges,
                    suspects, backpressure, loadsVersion, loads);
 };
 
-/// Body of path::FleetProbe: may a request that is shut out be tried once? The leading control host decides.
+/// Body of path::FleetProbe: asks whether a quarantined request may be probed once. The leading control host decides.
 struct FleetProbeCall {
     std::string digest;
-    bool isForwarded = false; ///< by a control host that does not lead
+    bool isForwarded = false; ///< by a control host that isn't the leader
     MSGPACK_DEFINE(digest, isForwarded);
 };
 
@@ -92,17 +95,17 @@
     MSGPACK_DEFINE(isGranted);
 };
 
-/// Body of path::FleetConfirm: a control host tells another one at once what its next ask would tell later.
+/// Body of path::FleetConfirm: a confirmation that a control host sends at once instead of with its next poll.
 struct FleetConfirmCall {
-    std::string host; ///< id of the confirming host's life
-    std::string peer; ///< its address
-    std::uint64_t sequence = 0; ///< one count with that of its reports
-    std::string epoch; ///< of the registry that is confirmed
+    std::string host; ///< incarnation id of the confirming host
+    std::string peer; ///< address of the confirming host
+    std::uint64_t sequence = 0; ///< from the same counter as the sequence of its reports
+    std::string epoch; ///< of the confirmed registry
     NewsPosition confirmed;
     MSGPACK_DEFINE(host, peer, sequence, epoch, confirmed);
 };
 
-/// Body of path::FleetRouting: an entry host asks for what changed in the routing.
+/// Body of path::FleetRouting: an entry host fetches the changes of the routing.
 struct FleetRoutingCall {
     std::uint64_t index = 0; ///< log index of the routing that it has
     MSGPACK_DEFINE(index);
@@ -114,14 +117,14 @@
     MSGPACK_DEFINE(changes);
 };
 
-/// Reply to path::FleetControlHosts, whose body is empty: a host that knows its seeds alone asks which control hosts
-/// live, so that it can follow one near it. It is no follower of the one that it asks.
+/// Reply to path::FleetControlHosts, whose body is empty. A host that knows only its seeds requests the live control
+/// hosts, so that it can follow a near one. The request doesn't make it a follower of the receiver.
 struct FleetControlHostsReply {
     std::vector<HostReport> hosts;
     MSGPACK_DEFINE(hosts);
 };
 
-/// Body of path::FleetJoin: a control host asks to be a member.
+/// Body of path::FleetJoin: a control host requests membership.
 struct MembershipCall {
     std::string name;
     std::string diskId;
--- a/lib/Fleet/MetricsServer.h
+++ b/lib/Fleet/MetricsServer.h
@@ -1,4 +1,4 @@
-//===- MetricsServer.h - The figures of a process, as text ------*- C++ -*-===//
+//===- MetricsServer.h - Metrics of a process over HTTP ---------*- C++ -*-===//
 #pragma once
 
 #include "../Daemon/HttpStatus.h"
--- a/lib/Fleet/PeerReplies.h
+++ b/lib/Fleet/PeerReplies.h
@@ -8,12 +8,14 @@
 namespace pepperlug::fleet
 {
 
+/// A decoded reply, or the reason why there is none.
 template <typename Message>
 struct TypedReply {
-    std::optional<Message> message; ///< nothing if there was no reply, or none that can be read
-    std::string reason; ///< why there is nothing
+    std::optional<Message> message; ///< nothing if there was no reply or it can't be decoded
+    std::string reason; ///< why there is no message
 };
 
+/// Decodes a reply. `peer` names the host in decoding errors.
 template <typename Message>
 TypedReply<Message> readReply(const PeerReply &reply, const std::string &peer)
 {
--- a/lib/Fleet/RoutingLag.h
+++ b/lib/Fleet/RoutingLag.h
@@ -1,4 +1,4 @@
-//===- RoutingLag.h - How far a host's routing is behind --------*- C++ -*-===//
+//===- RoutingLag.h - Routing that a host still lacks -----------*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Support.h"
@@ -8,47 +8,47 @@
 namespace pepperlug::fleet
 {
 
-/// The newer routings that a host was told of and has not got, by when it heard of each.
+/// The newer routing indexes that were advertised to a host and that it lacks, with the time of each advertisement.
 class RoutingLag
 {
 public:
-    /// A control host told of the routing of a log index.
+    /// Records that a control host advertised the routing of a log index.
     void addAdvertised(std::uint64_t index, TimePoint now)
     {
-        if (index > m_newest) {
-            m_newest = index;
+        if (index > m_newestIndex) {
+            m_newestIndex = index;
             m_missing.push_back({index, now});
         }
     }
 
-    /// The routing of an index, and with it all older ones, is decided by from now on.
+    /// Records that the host decides by the routing of a log index from now on.
     void setApplied(std::uint64_t index)
     {
-        m_newest = std::max(m_newest, index);
+        m_newestIndex = std::max(m_newestIndex, index);
         while (!m_missing.empty() && m_missing.front().index <= index) {
             m_missing.pop_front();
         }
     }
 
-    /// Log index of the newest that was heard of; 0 for none.
+    /// Returns the log index of the newest advertised or applied routing; 0 if none.
     std::uint64_t newestIndex() const
     {
-        return m_newest;
+        return m_newestIndex;
     }
 
-    /// When the oldest of those that are missing was heard of; nothing if none is.
+    /// Returns when the oldest missing routing was advertised; nothing if none is missing.
     std::optional<TimePoint> behindSince() const
     {
-        return m_missing.empty() ? std::nullopt : std::optional(m_missing.front().heardAt);
+        return m_missing.empty() ? std::nullopt : std::optional(m_missing.front().advertisedAt);
     }
 
 private:
     struct Missing {
         std::uint64_t index = 0;
-        TimePoint heardAt{};
+        TimePoint advertisedAt{};
     };
 
-    std::uint64_t m_newest = 0;
+    std::uint64_t m_newestIndex = 0;
     std::deque<Missing> m_missing; ///< oldest first
 };
 
--- a/lib/Fleet/UpdateExchange.h
+++ b/lib/Fleet/UpdateExchange.h
@@ -1,7 +1,8 @@
-//===- UpdateExchange.h - Tables that hosts keep together ----------*- C++ -*-===//
+//===- UpdateExchange.h - Updates of shared tables --------------*- C++ -*-===//
 //
-// An entry host tells what it noticed with its asks, until a reply tells that it
-// was heard; a control host that has started anew is told all that is known.
+// An entry host repeats the events that it has noticed with each request until
+// a reply acknowledges them. A control host that has restarted gets the whole
+// table.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -11,34 +12,35 @@
 namespace pepperlug::fleet
 {
 
-/// Up to where something was told, between an entry host and one life of a control host.
+/// Version of a table, valid for one incarnation of a control host.
 struct EpochVersion {
-    std::string epoch; ///< of the control host's life
+    std::string epoch; ///< of the control host's incarnation
     std::uint64_t version = 0;
     bool operator==(const EpochVersion &) const = default;
 };
 
-/// Fills in what an entry host tells the control host whose life the epoch names.
+/// Fills in the updates for the control host whose incarnation the epoch names.
 template <typename Report, typename Table>
-void fillOffer(UpdateOffer<Report> &offer, const Table &table, const EpochVersion &told, const std::string &epoch,
-               TimePoint now)
+void fillOffer(UpdateOffer<Report> &offer, const Table &table, const EpochVersion &acknowledged,
+               const std::string &epoch, TimePoint now)
 {
-    const bool hasHeard = !epoch.empty() && epoch == told.epoch;
-    offer.reports = table.changedSince(hasHeard ? told.version : 0, NewsReader::ControlHost, now);
+    const bool isKnownEpoch = !epoch.empty() && epoch == acknowledged.epoch;
+    offer.reports = table.changedSince(isKnownEpoch ? acknowledged.version : 0, NewsReader::ControlHost, now);
     offer.version = table.version();
 }
 
-/// Takes the reports out of an offer, and from it what a control host's earlier life was told.
+/// Moves the reports out of an offer, and resets the versions in it that an earlier incarnation of this control host
+/// had assigned or acknowledged.
 template <typename Report>
-std::vector<Report> takeReports(UpdateOffer<Report> &offer, bool isSameEpoch, bool knowsNoEpoch)
+std::vector<Report> takeReports(UpdateOffer<Report> &offer, bool isSameEpoch, bool hasNoEpoch)
 {
     offer.since = isSameEpoch ? offer.since : 0;
-    // An asker that knew an earlier life of this host may have left out what it told that one.
-    offer.version = isSameEpoch || knowsNoEpoch ? offer.version : 0;
+    // A sender that knew an earlier incarnation of this host may have left out what that one acknowledged.
+    offer.version = isSameEpoch || hasNoEpoch ? offer.version : 0;
     return std::exchange(offer.reports, {});
 }
 
-/// What a control host replies.
+/// Returns a control host's reply to an offer.
 template <typename Report, typename Table>
 UpdateReply<Report> makeUpdateReply(const UpdateOffer<Report> &offer, const Table &table, NewsReader reader,
                                     TimePoint now)
