--- a/lib/Fleet/CachedState.cpp
+++ b/lib/Fleet/CachedState.cpp
@@ -1,4 +1,4 @@
-//===- CachedState.cpp - What a control host knew before a restart ---------===//
+//===- CachedState.cpp - Control host state from before a restart ---------===//
 #include "CachedState.h"
 #include "pepperlug/Storage.h"
 
@@ -12,12 +12,12 @@
 namespace
 {
 
-/// Body of the file.
-struct StoredRemembered {
+/// Format of the file.
+struct StoredState {
     std::string routing; ///< RoutingState::snapshot()
     std::vector<TargetReport> targets;
     std::vector<SuspectReport> suspects; ///< absent in files of earlier versions
-    std::vector<TenantLoad> loads; ///< likewise
+    std::vector<TenantLoad> loads; ///< absent in files of earlier versions
     MSGPACK_DEFINE(routing, targets, suspects, loads);
 };
 
@@ -25,45 +25,44 @@
 
 CachedState makeCachedState(const RoutingState &routing, const Registry &registry)
 {
-    CachedState remembered{routing, {}, {}};
+    CachedState state{routing, {}, {}};
     for (const auto &[id, entry] : registry.targets()) {
-        // How many hosts share a cold target is not known right after a restart, so none sends to it.
+        // Cold targets are left out: the number of hosts that share one is unknown right after a restart, so none may
+        // send requests to it.
         const bool isWarm = entry.report.coldLeft <= Milliseconds(0);
         if (entry.report.presence == Presence::Ready && !entry.isSilent && isWarm) {
-            remembered.targets.push_back(entry.report);
+            state.targets.push_back(entry.report);
         }
     }
-    return remembered;
+    return state;
 }
 
-void writeCachedState(const std::string &path, const CachedState &remembered)
+void writeCachedState(const std::string &path, const CachedState &state)
 {
-    replaceFile(path,
-                encode(StoredRemembered{remembered.routing.snapshot(), remembered.targets, remembered.suspects,
-                                        remembered.loads}));
+    replaceFile(path, encode(StoredState{state.routing.snapshot(), state.targets, state.suspects, state.loads}));
 }
 
 std::optional<CachedState> readCachedState(const std::string &path)
 {
-    std::error_code ec; // whatever else keeps the file from being read is told by readFile()
+    std::error_code ec; // other errors are reported by readFile()
     if (std::filesystem::status(path, ec).type() == std::filesystem::file_type::not_found) {
         return std::nullopt;
     }
-    auto stored = decode<StoredRemembered>(readFile(path), path);
-    CachedState remembered;
-    remembered.routing.restore(stored.routing);
-    remembered.targets = std::move(stored.targets);
-    remembered.suspects = std::move(stored.suspects);
-    remembered.loads = std::move(stored.loads);
-    return remembered;
+    auto stored = decode<StoredState>(readFile(path), path);
+    CachedState state;
+    state.routing.restore(stored.routing);
+    state.targets = std::move(stored.targets);
+    state.suspects = std::move(stored.suspects);
+    state.loads = std::move(stored.loads);
+    return state;
 }
 
 std::vector<TargetReport> unreportedTargets(const std::vector<TargetReport> &targets, const Registry &registry)
 {
-    std::vector<TargetReport> unheard;
-    std::copy_if(targets.begin(), targets.end(), std::back_inserter(unheard),
+    std::vector<TargetReport> unreported;
+    std::copy_if(targets.begin(), targets.end(), std::back_inserter(unreported),
                  [&](const TargetReport &it) { return registry.target(it.id) == nullptr; });
-    return unheard;
+    return unreported;
 }
 
 } // namespace pepperlug::fleet
