--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -1,4 +1,4 @@
-//===- GatewayBackpressure.cpp - What targets ask for, at an entry host ---===//
+//===- GatewayBackpressure.cpp - Backpressure at an entry host ------------===//
 #include "GatewayImpl.h"
 
 namespace pepperlug::fleet
@@ -27,18 +27,18 @@
 }
 
 // The mutex is held.
-void GatewayDaemon::Impl::describeBackpressure(FleetWatchCall &call, const std::string &epoch)
+void GatewayDaemon::Impl::addBackpressureReports(FleetWatchCall &call, const std::string &epoch)
 {
     const BackpressureTable &table = m_balancer->backpressure();
-    fillOffer(call.backpressure, table, m_toldBackpressure, epoch, m_clock.now());
+    fillOffer(call.backpressure, table, m_acknowledgedBackpressure, epoch, m_clock.now());
     m_metrics.gauge("pepperlug_targets_limited", static_cast<double>(table.limited()));
 }
 
-// Only what certainly comes from the target: another incarnation may have its address.
-void GatewayDaemon::Impl::onTargetSignal(const Incarnation &target, const AnswerFields &terms, TimePoint sentAt)
+// Takes only signals that certainly come from the target: another incarnation may use its address.
+void GatewayDaemon::Impl::onTargetSignal(const Incarnation &target, const AnswerFields &fields, TimePoint sentAt)
 {
-    if (!terms.isWrongTarget && (terms.hasRequiredFields || !terms.isExecuted)) {
-        reduce(TargetSignalled{target, terms.backpressure, sentAt});
+    if (!fields.isWrongTarget && (fields.hasRequiredFields || !fields.isExecuted)) {
+        reduce(TargetSignalled{target, fields.backpressure, sentAt});
     }
 }
 
@@ -49,7 +49,7 @@
 
 void GatewayDaemon::Impl::carryOut(const BackpressureChanged &effect)
 {
-    m_hasNewsToTell |= effect.isOwn;
+    m_hasUnsentUpdates |= effect.isOwn;
     m_events.state("target-signal",
                    {{"target", effect.target},
                     {"leaving", effect.isLeaving},
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -1,4 +1,4 @@
-//===- GatewayDaemon.cpp - Life of an entry host --------------------------===//
+//===- GatewayDaemon.cpp - Lifecycle of an entry host ---------------------===//
 #include "../Daemon/HttpStatus.h"
 #include "GatewayImpl.h"
 #include "MetricsServer.h"
@@ -13,28 +13,30 @@
 {
 
 constexpr Milliseconds TickInterval{25};
-constexpr Milliseconds WatchPatience{500};
-/// A reply that took longer gets a line of its own: the farthest way and back, and twice as much again, after it was
-/// held back for as long as it may be.
-constexpr Milliseconds SlowReply = WatchPatience + Milliseconds(300);
-/// So does one that is longer, in bytes: about 30 ms of a link of 4 Mbit/s, the narrowest that was met.
-constexpr std::size_t LongReply = 16 * 1024;
-/// Part of the link that large answers may use on their way here, so that small ones need not queue behind them. They
-/// use as much again on their way to callers.
-constexpr double LargeAnswersPart = 0.5;
-/// In which a seed tells the control hosts; then the next one is asked. Ten times the farthest way and back.
+constexpr Milliseconds PollMaxWait{500};
+/// Replies that take longer are logged: more than three round trips to the farthest region,
+/// beyond the time for which a reply may be held.
+constexpr Milliseconds SlowReplyThreshold = PollMaxWait + Milliseconds(300);
+/// Replies that are longer are logged, too. In bytes: about 30 ms on a link of 4 Mbit/s, the narrowest known.
+constexpr std::size_t LongReplyBytes = 16 * 1024;
+/// Share of the link for large answers from targets, so that small ones don't queue behind them. Large answers use as
+/// much again on their way to callers.
+constexpr double LargeAnswerShare = 0.5;
+/// Within which a seed has to list the control hosts before the next seed is tried; ten round trips to the farthest
+/// region.
 constexpr Milliseconds ControlHostsTimeout{700};
-/// After a seed that did not tell. A seed that starts at the same time listens within about as long.
-constexpr Milliseconds PauseBetweenSeeds{150};
+/// After a seed failed to list the control hosts. A seed that starts at the same time needs about as long until it
+/// listens.
+constexpr Milliseconds SeedRetryDelay{150};
 constexpr std::size_t IncarnationBytes = 8;
-/// Between two asks that are made at once since a tenant's requests have grown.
-constexpr Milliseconds SurgeInterval{200};
-/// Callers that hold a directory answer still come for so long after this host has left it.
-constexpr Milliseconds LeastLeavingTime{2500};
-/// What is left of the grace time when the process ends in any case.
+/// Between two immediate requests because of bursts of tenants' requests.
+constexpr Milliseconds BurstReportInterval{200};
+/// Callers with a cached directory answer arrive for that long after the directory has dropped this host.
+constexpr Milliseconds MinDrainTime{2500};
+/// Rest of the grace period at which the process exits even if requests are open.
 constexpr Milliseconds GraceReserve{600};
-/// For answers, and refusals of requests that cross the end, to be written.
-constexpr Milliseconds LastAnswers{200};
+/// For writing the last answers, and refusals of requests that arrive during the exit.
+constexpr Milliseconds FinalAnswersTime{200};
 
 BalanceSettings balanceSettings(const FleetSettings &settings, const std::string &incarnation)
 {
@@ -73,7 +75,7 @@
 {
     m_events.state("start", {{"role", "entry"}, {"zone", m_settings.zone}});
     const auto forLarge =
-        static_cast<std::uint64_t>(static_cast<double>(m_settings.linkBytesPerSecond) * LargeAnswersPart);
+        static_cast<std::uint64_t>(static_cast<double>(m_settings.linkBytesPerSecond) * LargeAnswerShare);
     m_client = std::make_unique<HttpClient>(m_settings.maxAnswerBytes, forLarge);
     ControlWatch::Hooks hooks;
     hooks.makeCall = [this](const Address &, const std::string &epoch) {
@@ -82,22 +84,22 @@
         call.self = selfReport();
         call.routingIndex = m_routing.index;
         call.newestRoutingIndex = m_routingLag.newestIndex();
-        call.confirmed.routing = actsUpon();
-        describeSuspects(call, epoch);
-        describeBackpressure(call, epoch);
+        call.confirmed.routing = activeRoutingIndex();
+        addSuspectReports(call, epoch);
+        addBackpressureReports(call, epoch);
         return call;
     };
     hooks.candidates = [this] {
         return controlHosts();
     };
-    hooks.onReply = [this](const ReplyInfo &receipt, const FleetWatchReply &reply) {
-        onControlReply(receipt, reply);
+    hooks.onReply = [this](const ReplyInfo &info, const FleetWatchReply &reply) {
+        onControlReply(info, reply);
         return true;
     };
     hooks.onLink = [this](const Address &control, bool isLost, const std::string &reason) {
         onLink(control, isLost, reason);
     };
-    m_watch = std::make_unique<ControlWatch>(m_net, m_clock, WatchPatience, std::move(hooks));
+    m_watch = std::make_unique<ControlWatch>(m_net, m_clock, PollMaxWait, std::move(hooks));
     m_callersServer = std::make_unique<HttpServer>(m_settings.callers, 1, callerLimits(m_settings), m_clock,
                                                    [this](const HttpExchangePtr &exchange) { onHttp(exchange); });
     m_readinessServer =
@@ -120,42 +122,44 @@
 void GatewayDaemon::Impl::tick()
 {
     reduce(BalanceTick{});
-    tellNews();
-    tellSurges();
+    reportUpdates();
+    reportBursts();
     const TimePoint now = m_clock.now();
     if (knowsControlHosts()) {
         m_watch->poll(now);
     } else {
-        askForControlHosts(now);
+        requestControlHosts(now);
     }
     const std::lock_guard lock(m_mutex);
     m_metrics.gauge("pepperlug_view_age_seconds", secondsOf(viewAge()));
 }
 
-// Told with the next ask, up to half a second later, a request that ends targets would cost further ones, and a target
-// that asks for less would get as much as before.
-void GatewayDaemon::Impl::tellNews()
+// Sends updates without waiting for the next regular request, up to half a second later: until then a request that
+// crashes targets would crash further ones, and a target that lowered its rate limit would get as many requests as
+// before.
+void GatewayDaemon::Impl::reportUpdates()
 {
     {
         const std::lock_guard lock(m_mutex);
-        if (!m_hasNewsToTell) {
+        if (!m_hasUnsentUpdates) {
             return;
         }
-        m_hasNewsToTell = false;
+        m_hasUnsentUpdates = false;
     }
     m_watch->restartPoll();
 }
 
-// With the next ask, up to half a second later, control hosts would hear of a crowd when it has used up the limit.
-void GatewayDaemon::Impl::tellSurges()
+// Sends demand without waiting for the next regular request, up to half a second later: by then a burst has used up the
+// tenant's limit.
+void GatewayDaemon::Impl::reportBursts()
 {
     {
         const std::lock_guard lock(m_mutex);
         const TimePoint now = m_clock.now();
-        if (now < m_nextSurge || !m_balancer->hasTenantSurged(now)) {
+        if (now < m_nextBurstReport || !m_balancer->hasTenantSurged(now)) {
             return;
         }
-        m_nextSurge = now + SurgeInterval;
+        m_nextBurstReport = now + BurstReportInterval;
     }
     m_watch->restartPoll();
 }
@@ -168,7 +172,7 @@
     report.zone = m_settings.zone;
     report.address = m_settings.callers.text();
     report.peer = m_settings.peer.text();
-    // What is acknowledged from then on needs no host that passes nothing on any more.
+    // A host that routes nothing any more need not confirm anything, so acknowledgements don't wait for it.
     report.presence = m_isClosed ? Presence::Gone : (m_isStopping ? Presence::Draining : Presence::Ready);
     report.demand = m_balancer->demand(m_clock.now());
     report.linkUse = m_balancer->linkUse(m_clock.now());
@@ -177,8 +181,8 @@
     return report;
 }
 
-// Nearest first; a host whose place is not known yet comes last. Those that are alike near come in an order that
-// differs from host to host, so that hosts which restart do not all ask the same seed.
+// Nearest first; hosts with unknown location last. The order among equally near hosts differs from host to host, so
+// that restarting hosts don't all poll the same seed.
 std::vector<Address> GatewayDaemon::Impl::controlHosts()
 {
     const std::lock_guard lock(m_mutex);
@@ -186,7 +190,7 @@
         const auto it = m_settings.regionOfZone.find(zone);
         return it == m_settings.regionOfZone.end() ? std::string() : it->second;
     };
-    const auto turnOf = [seed = hash64(m_settings.name)](const Address &address) {
+    const auto orderOf = [seed = hash64(m_settings.name)](const Address &address) {
         return hash64(address.text(), seed);
     };
     std::vector<std::tuple<int, std::uint64_t, Address>> ranked;
@@ -195,16 +199,16 @@
         if (!peer) {
             continue;
         }
-        const bool isNear = regionOf(host.zone) == regionOf(m_settings.zone);
-        ranked.emplace_back(host.zone == m_settings.zone ? 0 : (isNear ? 1 : 2), turnOf(*peer), *peer);
+        const bool isSameRegion = regionOf(host.zone) == regionOf(m_settings.zone);
+        ranked.emplace_back(host.zone == m_settings.zone ? 0 : (isSameRegion ? 1 : 2), orderOf(*peer), *peer);
     }
     for (const Address &seed : m_settings.seeds) {
         const Address peer{seed.ip, m_settings.peer.port};
-        ranked.emplace_back(3, turnOf(peer), peer);
+        ranked.emplace_back(3, orderOf(peer), peer);
     }
     std::sort(ranked.begin(), ranked.end());
     std::vector<Address> addresses;
-    for (const auto &[rank, turn, address] : ranked) {
+    for (const auto &[rank, order, address] : ranked) {
         if (std::find(addresses.begin(), addresses.end(), address) == addresses.end()) {
             addresses.push_back(address);
         }
@@ -215,23 +219,23 @@
 bool GatewayDaemon::Impl::knowsControlHosts()
 {
     const std::lock_guard lock(m_mutex);
-    return m_wasToldControlHosts;
+    return m_knowsControlHosts;
 }
 
-// A host that has just started knows its seeds alone, mostly in other regions. It would stay with the one that it
-// follows first, and so would all others: what they hear would cross borders, and what they confirm would come a way
-// of 35 ms later than from a control host of their own zone. Seen with 27 control hosts: one had most followers.
-void GatewayDaemon::Impl::askForControlHosts(TimePoint now)
+// A host that has just started knows only its seeds, mostly in other regions. It would keep following the first one,
+// and so would all other entry hosts: updates would cross regions, and confirmations would arrive 35 ms later than
+// through a control host of their own zone. With 27 control hosts, one of them got most of the followers.
+void GatewayDaemon::Impl::requestControlHosts(TimePoint now)
 {
     const std::vector<Address> seeds = controlHosts();
     Address to;
     {
         const std::lock_guard lock(m_mutex);
-        if (seeds.empty() || m_isAskingForControlHosts || now < m_nextAskForControlHosts) {
+        if (seeds.empty() || m_isRequestingControlHosts || now < m_nextControlHostsRequest) {
             return;
         }
-        m_isAskingForControlHosts = true;
-        to = seeds[m_seedsAsked++ % seeds.size()];
+        m_isRequestingControlHosts = true;
+        to = seeds[m_seedRequests++ % seeds.size()];
     }
     m_net.call(to, path::FleetControlHosts, std::string(), ControlHostsTimeout,
                [this, to](const PeerReply &reply) { onControlHosts(to, reply); });
@@ -240,16 +244,17 @@
 void GatewayDaemon::Impl::onControlHosts(const Address &from, const PeerReply &reply)
 {
     const auto [read, reason] = readReply<FleetControlHostsReply>(reply, from.text());
-    const FleetControlHostsReply told = read.value_or(FleetControlHostsReply{});
-    m_events.state(told.hosts.empty() ? "control-hosts-not-told" : "control-hosts",
-                   {{"from", from.text()}, {"hosts", told.hosts.size()}, {"reason", reason}});
+    const FleetControlHostsReply message = read.value_or(FleetControlHostsReply{});
+    m_events.state(message.hosts.empty() ? "control-hosts-not-told" : "control-hosts",
+                   {{"from", from.text()}, {"hosts", message.hosts.size()}, {"reason", reason}});
     const std::lock_guard lock(m_mutex);
-    m_isAskingForControlHosts = false;
-    m_nextAskForControlHosts = m_clock.now() + PauseBetweenSeeds;
-    // A seed that lives but can't tell is followed itself, and so they are in turn where none of them answers.
-    const bool triedAll = m_seedsAsked >= m_settings.seeds.size();
-    m_wasToldControlHosts = reply.delivered || triedAll;
-    for (const HostReport &it : told.hosts) {
+    m_isRequestingControlHosts = false;
+    m_nextControlHostsRequest = m_clock.now() + SeedRetryDelay;
+    // A seed that is reachable but can't list the control hosts is followed itself. If no seed is reachable, the seeds
+    // are followed in turn.
+    const bool triedAll = m_seedRequests >= m_settings.seeds.size();
+    m_knowsControlHosts = reply.delivered || triedAll;
+    for (const HostReport &it : message.hosts) {
         m_controlHosts[it.id] = it;
     }
 }
@@ -262,26 +267,26 @@
     }
 }
 
-// Age of what this host knows, by its own clock; -1 ms if it was never told anything. The mutex is held.
+// Age of this host's view by its own clock; -1 ms if it never received one. The mutex is held.
 Milliseconds GatewayDaemon::Impl::viewAge() const
 {
     return m_viewAsOf ? std::chrono::duration_cast<Milliseconds>(m_clock.now() - *m_viewAsOf) : Milliseconds(-1);
 }
 
-void GatewayDaemon::Impl::logReply(const ReplyInfo &receipt, const FleetWatchReply &reply)
+void GatewayDaemon::Impl::logReply(const ReplyInfo &info, const FleetWatchReply &reply)
 {
-    m_metrics.count("pepperlug_news_bytes{to=\"entry\"}", receipt.bytes);
-    m_metrics.latency("pepperlug_news_seconds", receipt.elapsed);
-    if (receipt.elapsed >= SlowReply || receipt.bytes >= LongReply) {
+    m_metrics.count("pepperlug_news_bytes{to=\"entry\"}", info.bytes);
+    m_metrics.latency("pepperlug_news_seconds", info.elapsed);
+    if (info.elapsed >= SlowReplyThreshold || info.bytes >= LongReplyBytes) {
         m_events.state("news",
-                       {{"from", receipt.from.text()},
-                        {"took_ms", std::chrono::duration_cast<Milliseconds>(receipt.elapsed).count()},
-                        {"bytes", receipt.bytes},
+                       {{"from", info.from.text()},
+                        {"took_ms", std::chrono::duration_cast<Milliseconds>(info.elapsed).count()},
+                        {"bytes", info.bytes},
                         {"targets", reply.changes.targets.size()},
                         {"whole", reply.isWhole}});
     }
     for (const AgedReport<TargetReport> &it : reply.changes.targets) {
-        // A line for each of some hundred targets that are as they should be would push the decisions out.
+        // A line for each of some hundred healthy targets would crowd out the lines of decisions.
         if (reply.isWhole && it.report.presence == Presence::Ready && !it.isSilent) {
             continue;
         }
@@ -294,19 +299,19 @@
                         {"cold_ms", it.report.coldLeft.count()},
                         {"sequence", it.report.sequence},
                         {"age_ms", it.age.count()},
-                        {"from", receipt.from.text()}});
+                        {"from", info.from.text()}});
     }
 }
 
-void GatewayDaemon::Impl::onControlReply(const ReplyInfo &receipt, const FleetWatchReply &reply)
+void GatewayDaemon::Impl::onControlReply(const ReplyInfo &info, const FleetWatchReply &reply)
 {
-    logReply(receipt, reply);
+    logReply(info, reply);
     {
         const std::lock_guard lock(m_mutex);
         if (reply.isCurrent) {
-            m_viewAsOf = receipt.sentAt;
+            m_viewAsOf = info.sentAt;
         }
-        m_followed = receipt.from;
+        m_followedHost = info.from;
         for (const AgedReport<HostReport> &it : reply.changes.hosts) {
             if (it.report.role == HostRole::Control && it.report.presence == Presence::Ready && !it.isSilent) {
                 m_controlHosts[it.report.id] = it.report;
@@ -318,22 +323,22 @@
     if (!reply.changes.empty() || reply.isWhole || !reply.demand.empty()) {
         reduce(ReportsChanged{reply.changes, reply.isWhole, reply.demand, reply.cachedTargets});
     }
-    takeNews<SuspectsTold>(reply.suspects, reply.epoch, m_toldSuspects);
-    takeNews<BackpressureTold>(reply.backpressure, reply.epoch, m_toldBackpressure);
-    onLoadsTold(reply);
-    followRouting(receipt.from, reply);
-    tellAgeOfNews();
+    applyUpdates<SuspectsTold>(reply.suspects, reply.epoch, m_acknowledgedSuspects);
+    applyUpdates<BackpressureTold>(reply.backpressure, reply.epoch, m_acknowledgedBackpressure);
+    applyTenantLoads(reply);
+    updateRouting(info.from, reply);
+    reportViewAge();
 }
 
-void GatewayDaemon::Impl::onLoadsTold(const FleetWatchReply &reply)
+void GatewayDaemon::Impl::applyTenantLoads(const FleetWatchReply &reply)
 {
     {
         const std::lock_guard lock(m_mutex);
-        const EpochVersion told{reply.epoch, reply.loadsVersion};
-        if (told == m_toldLoads) {
+        const EpochVersion version{reply.epoch, reply.loadsVersion};
+        if (version == m_tenantLoadsVersion) {
             return;
         }
-        m_toldLoads = told;
+        m_tenantLoadsVersion = version;
     }
     for (const TenantLoad &it : reply.loads) {
         if (it.part < 1) {
@@ -368,12 +373,12 @@
     m_events.state("reload", {{"seeds", settings.seeds.size()}});
 }
 
-// New callers may come until the directory's answers have run out, so they are served meanwhile. A request that comes
-// just before the end must not be passed on and then be cut off: from the moment in which nothing is open, each new one
-// is refused, and the process ends a little later.
+// Callers arrive until the directory's answers have expired, and are served meanwhile. A request that arrives just
+// before the exit must not be routed and then be cut off. Therefore new requests are refused from the moment when no
+// request is open, and the process exits a little later.
 void GatewayDaemon::Impl::stopGracefully()
 {
-    const TimePoint begun = m_clock.now();
+    const TimePoint startedAt = m_clock.now();
     m_events.state("stop", {{"role", "entry"}});
     {
         const std::lock_guard lock(m_mutex);
@@ -381,12 +386,12 @@
     }
     m_callersServer->closeAfterAnswers();
     m_watch->restartPoll();
-    const TimePoint last = begun + m_settings.bounds.gracePeriod - GraceReserve;
+    const TimePoint deadline = startedAt + m_settings.bounds.gracePeriod - GraceReserve;
     for (;;) {
         std::this_thread::sleep_for(TickInterval);
         const TimePoint now = m_clock.now();
-        const bool isIdle = now - begun >= LeastLeavingTime && closeIfIdle();
-        if (isIdle || now >= last) {
+        const bool isIdle = now - startedAt >= MinDrainTime && closeIfIdle();
+        if (isIdle || now >= deadline) {
             break;
         }
     }
@@ -398,7 +403,7 @@
     }
     m_watch->restartPoll();
     m_events.state("stopped", {{"open_requests", open}});
-    std::this_thread::sleep_for(LastAnswers);
+    std::this_thread::sleep_for(FinalAnswersTime);
 }
 
 bool GatewayDaemon::Impl::closeIfIdle()
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -1,8 +1,8 @@
 //===- GatewayImpl.h - State of a running entry host ------------*- C++ -*-===//
 //
-// Callers' threads, the client's thread, the network's and the ticker reduce
-// events under one mutex and carry the effects out while they hold it; an effect
-// only queues work, so nothing waits there.
+// The threads of the callers' server, the HTTP client, the peer network and the
+// ticker reduce events under one mutex and execute the effects while they hold
+// it. An effect only queues work, so it never blocks.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -20,8 +20,8 @@
 namespace pepperlug::fleet
 {
 
-/// A connection to a target that is not made by then is tried elsewhere; the way to the farthest region and back is
-/// much shorter.
+/// A connection to a target that takes longer is given up and another target is tried. The round trip to the farthest
+/// region is much shorter.
 constexpr Milliseconds ConnectTimeout{350};
 
 class GatewayDaemon::Impl
@@ -38,17 +38,17 @@
     Address readinessAddress() const;
 
 private:
-    /// A caller's request until it is answered.
+    /// A caller's request until its answer is complete.
     struct OpenExchange {
         HttpExchangePtr exchange;
-        CallerRequestFields terms;
-        std::string digest; ///< the same for each try of the same request
+        CallerRequestFields fields;
+        std::string digest; ///< the same for each retry of the request
         TimePoint arrivedAt{};
         std::shared_ptr<const std::string> body;
         std::map<unsigned, HttpCallId> calls; ///< by attempt
-        Answer answer; ///< of the attempt that ended last, or the head of the one that is passed on
-        std::uint64_t length = 0; ///< of the body that is passed on
-        unsigned begunAttempt = 0; ///< whose answer is passed on as it comes; 0 for none
+        Answer answer; ///< of the attempt that ended last, or the head of the streamed answer
+        std::uint64_t length = 0; ///< of the body of the streamed answer
+        unsigned streamedAttempt = 0; ///< whose answer is streamed to the caller; 0 for none
     };
 
     // GatewayDaemon.cpp
@@ -56,25 +56,26 @@
     HostReport selfReport();
     std::vector<Address> controlHosts();
     bool knowsControlHosts();
-    void askForControlHosts(TimePoint now);
+    void requestControlHosts(TimePoint now);
     void onControlHosts(const Address &from, const PeerReply &reply);
-    void onControlReply(const ReplyInfo &receipt, const FleetWatchReply &reply);
-    void logReply(const ReplyInfo &receipt, const FleetWatchReply &reply);
+    void onControlReply(const ReplyInfo &info, const FleetWatchReply &reply);
+    void logReply(const ReplyInfo &info, const FleetWatchReply &reply);
     Milliseconds viewAge() const;
     void onLink(const Address &control, bool isLost, const std::string &reason);
-    void onLoadsTold(const FleetWatchReply &reply);
-    void tellSurges();
-    void tellNews();
-    /// Takes what a control host tells of a table that hosts keep together, as an event of the balancer.
+    void applyTenantLoads(const FleetWatchReply &reply);
+    void reportBursts();
+    void reportUpdates();
+    /// Passes a control host's updates of a shared table to the balancer, and stores up to where it has acknowledged
+    /// this host's.
     template <typename Event, typename Report>
-    void takeNews(const UpdateReply<Report> &news, const std::string &epoch, EpochVersion &told)
+    void applyUpdates(const UpdateReply<Report> &updates, const std::string &epoch, EpochVersion &acknowledged)
     {
         {
             const std::lock_guard lock(m_mutex);
-            told = {epoch, news.acknowledged};
+            acknowledged = {epoch, updates.acknowledged};
         }
-        if (!news.reports.empty()) {
-            reduce(Event{news.reports});
+        if (!updates.reports.empty()) {
+            reduce(Event{updates.reports});
         }
     }
     void onReadiness(const HttpExchangePtr &exchange);
@@ -83,35 +84,35 @@
     void refuseStopping(OpenExchange &open);
 
     // GatewayRouting.cpp
-    void followRouting(const Address &from, const FleetWatchReply &reply);
+    void updateRouting(const Address &from, const FleetWatchReply &reply);
     void fetchRouting(const Address &from);
-    void onRoutingFetched(const Address &from, TimePoint askedAt, const PeerReply &reply);
-    void adoptRouting(const Address &from, const std::vector<std::string> &changes);
-    void tellAgeOfNews();
-    std::uint64_t actsUpon() const;
+    void onRoutingFetched(const Address &from, TimePoint sentAt, const PeerReply &reply);
+    void applyRouting(const Address &from, const std::vector<std::string> &changes);
+    void reportViewAge();
+    std::uint64_t activeRoutingIndex() const;
 
     // GatewayBackpressure.cpp
-    void describeBackpressure(FleetWatchCall &call, const std::string &epoch);
-    void onTargetSignal(const Incarnation &target, const AnswerFields &terms, TimePoint sentAt);
+    void addBackpressureReports(FleetWatchCall &call, const std::string &epoch);
+    void onTargetSignal(const Incarnation &target, const AnswerFields &fields, TimePoint sentAt);
     void carryOut(const RestBegun &effect);
     void carryOut(const BackpressureChanged &effect);
 
     // GatewaySuspects.cpp
-    void describeSuspects(FleetWatchCall &call, const std::string &epoch);
+    void addSuspectReports(FleetWatchCall &call, const std::string &epoch);
     void carryOut(const CheckTarget &effect);
     void carryOut(const AskTrial &effect);
     void carryOut(const SuspectChanged &effect);
 
     // GatewayRequests.cpp
     void onHttp(const HttpExchangePtr &exchange);
-    bool onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerFields &terms,
+    bool onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerFields &fields,
                        std::uint64_t length);
     void onAnswerPart(RequestId id, unsigned attempt, std::string_view part);
-    /// `terms`: of the answer, if there is one.
-    void onAttemptEnded(RequestId id, unsigned attempt, const Incarnation &target, const AnswerFields &terms,
+    /// `fields`: of the answer, if there is one.
+    void onAttemptEnded(RequestId id, unsigned attempt, const Incarnation &target, const AnswerFields &fields,
                         HttpResult result);
     void reduce(const BalanceEvent &event);
-    /// Null if it has ended; the mutex is held.
+    /// Returns null if the exchange has ended. The mutex is held.
     OpenExchange *findOpen(RequestId id);
     void carryOut(const StartAttempt &effect);
     void carryOut(const CancelAttempt &effect);
@@ -119,9 +120,9 @@
     void carryOut(const PassAnswer &effect);
     void carryOut(const AbortAnswer &effect);
     void carryOut(const RefuseRequest &effect);
-    /// Counts what an answer asks for, and returns it for a line.
+    /// Counts the backpressure signals of an answer, and returns them for a log line.
     nlohmann::json countSignal(const BackpressureSignal &signal);
-    AttemptEnded readResult(RequestId id, unsigned attempt, const AnswerFields &terms, HttpResult &result);
+    AttemptEnded classifyResult(RequestId id, unsigned attempt, const AnswerFields &fields, HttpResult &result);
 
     FleetSettings m_settings;
     const Clock &m_clock;
@@ -130,29 +131,29 @@
     EventLog m_events;
     std::string m_incarnation;
 
-    std::mutex m_mutex; ///< guards what follows, down to m_isStopping
+    std::mutex m_mutex; ///< guards the members below, down to m_isClosed
     std::unique_ptr<Balancer> m_balancer;
     std::unordered_map<std::uint64_t, OpenExchange> m_open;
     std::uint64_t m_lastRequest = 0;
     std::uint64_t m_sequence = 0;
-    RoutingView m_routing; ///< what the balancer decides by
+    RoutingView m_routing; ///< by which the balancer decides
     RoutingLag m_routingLag;
     bool m_isFetchingRouting = false;
-    bool m_wantsWholeRouting = false; ///< the last changes did not fit what is known here
+    bool m_needsFullRouting = false; ///< the last changes did not apply to m_routing
     std::map<std::string, HostReport> m_controlHosts; ///< live ones, by id
-    bool m_wasToldControlHosts = false; ///< or the seeds can't tell; from then on the one that is followed tells
-    bool m_isAskingForControlHosts = false;
-    std::size_t m_seedsAsked = 0;
-    TimePoint m_nextAskForControlHosts{};
-    std::optional<TimePoint> m_viewAsOf; ///< all that a control host in touch with a majority knew then is known here
-    EpochVersion m_toldSuspects; ///< of this host's quarantine, by this host
-    EpochVersion m_toldBackpressure; ///< of what targets ask for, by this host
-    bool m_hasNewsToTell = false; ///< of both, noticed since the last ask
-    EpochVersion m_toldLoads; ///< of the loads of tenants, by the control host
-    TimePoint m_nextSurge{};
-    Address m_followed; ///< control host that replied last
-    bool m_isStopping = false; ///< no caller is sent here any more
-    bool m_isClosed = false; ///< no request is passed on any more
+    bool m_knowsControlHosts = false; ///< or no seed could list them; from then on the followed host reports them
+    bool m_isRequestingControlHosts = false;
+    std::size_t m_seedRequests = 0;
+    TimePoint m_nextControlHostsRequest{};
+    std::optional<TimePoint> m_viewAsOf; ///< this host knows all that a control host with a majority knew then
+    EpochVersion m_acknowledgedSuspects; ///< version of this host's quarantine that the followed host has
+    EpochVersion m_acknowledgedBackpressure; ///< version of this host's backpressure table that the followed host has
+    bool m_hasUnsentUpdates = false; ///< suspects or backpressure noticed since the last request
+    EpochVersion m_tenantLoadsVersion; ///< of the tenant loads, as sent by the control host
+    TimePoint m_nextBurstReport{};
+    Address m_followedHost; ///< control host that replied last
+    bool m_isStopping = false; ///< the directory no longer lists this host
+    bool m_isClosed = false; ///< no request is routed any more
 
     PeerNet m_net;
     std::unique_ptr<ControlWatch> m_watch;
--- a/lib/Fleet/GatewayRequests.cpp
+++ b/lib/Fleet/GatewayRequests.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-/// A target that was chosen longer ago than this may have begun to drain; the request is placed anew then.
-constexpr Milliseconds SendTime{600};
-/// The client's own limit, past the time at which the request is given up anyway.
-constexpr Milliseconds ClientMargin{50};
+/// A target that was chosen longer ago may be draining; another one is chosen then.
+constexpr Milliseconds SendTimeout{600};
+/// Timeout of the HTTP client beyond the deadline, at which the request is given up anyway.
+constexpr Milliseconds ClientTimeoutMargin{50};
 
 } // namespace
 
@@ -21,19 +21,19 @@
     const HttpRequest &http = exchange->request();
     OpenExchange open;
     open.exchange = exchange;
-    open.terms = m_dialect.readRequest(http);
-    open.digest = digestOf({http.method, open.terms.host, http.resource, open.terms.caller, http.body});
+    open.fields = m_dialect.readRequest(http);
+    open.digest = digestOf({http.method, open.fields.host, http.resource, open.fields.caller, http.body});
     open.arrivedAt = m_clock.now();
     if (!http.body.empty()) {
         open.body = std::make_shared<const std::string>(http.body);
     }
     CallerRequest request;
-    request.host = open.terms.host;
-    request.path = open.terms.path;
-    request.affinityKey = open.terms.affinityKey;
-    request.deadline = open.terms.deadline;
+    request.host = open.fields.host;
+    request.path = open.fields.path;
+    request.affinityKey = open.fields.affinityKey;
+    request.deadline = open.fields.deadline;
     request.digest = open.digest;
-    request.keyDigest = open.terms.keyDigest;
+    request.keyDigest = open.fields.keyDigest;
     m_metrics.count("pepperlug_requests");
     {
         const std::lock_guard lock(m_mutex);
@@ -55,8 +55,8 @@
 
 void GatewayDaemon::Impl::refuseStopping(OpenExchange &open)
 {
-    m_events.decision("refused", {{"request", open.terms.requestId}, {"reason", nameOf(Refusal::Stopping)}});
-    open.exchange->respond(m_dialect.refusal({open.terms.requestId, Refusal::Stopping, ElsewhereRetryAfter}));
+    m_events.decision("refused", {{"request", open.fields.requestId}, {"reason", nameOf(Refusal::Stopping)}});
+    open.exchange->respond(m_dialect.refusal({open.fields.requestId, Refusal::Stopping, ElsewhereRetryAfter}));
 }
 
 GatewayDaemon::Impl::OpenExchange *GatewayDaemon::Impl::findOpen(RequestId id)
@@ -91,16 +91,16 @@
     call.headers = m_dialect.targetHeaders(endToEndHeaders(http.headers),
                                            {effect.target, effect.timeLeft, effect.hasTenants, effect.tenant});
     call.body = open.body;
-    call.timeout = effect.timeLeft + ClientMargin;
+    call.timeout = effect.timeLeft + ClientTimeoutMargin;
     call.connectTimeout = std::min<Duration>(ConnectTimeout, effect.timeLeft);
-    call.sendWithin = SendTime;
-    // What this host has confirmed to have taken over must hold for requests that still wait for a connection.
+    call.sendWithin = SendTimeout;
+    // State that this host has confirmed must hold also for requests that still wait for a connection.
     call.maySend = [this, id = effect.id, attempt = effect.attempt] {
         const std::lock_guard lock(m_mutex);
         return m_balancer->maySend(id, attempt);
     };
     call.acceptsHead = [accepts = m_dialect.answersRequest,
-                        id = open.terms.requestId](const std::vector<HeaderField> &headers) {
+                        id = open.fields.requestId](const std::vector<HeaderField> &headers) {
         return accepts(headers, id);
     };
     const RequestId id = effect.id;
@@ -108,16 +108,16 @@
     const Incarnation target{effect.target, effect.targetStartedAt};
     const TimePoint sentAt = m_clock.now();
     call.onLargeHead = [this, id, attempt, target, sentAt](const Answer &head, std::uint64_t length) {
-        const AnswerFields terms = m_dialect.readAnswer(head);
-        onTargetSignal(target, terms, sentAt);
-        return onAnswerBegun(id, attempt, head, terms, length);
+        const AnswerFields fields = m_dialect.readAnswer(head);
+        onTargetSignal(target, fields, sentAt);
+        return onAnswerBegun(id, attempt, head, fields, length);
     };
     call.onPart = [this, id, attempt](std::string_view part) {
         onAnswerPart(id, attempt, part);
     };
     m_metrics.count("pepperlug_attempts");
     m_events.decision("attempt",
-                      {{"request", open.terms.requestId},
+                      {{"request", open.fields.requestId},
                        {"digest", open.digest},
                        {"attempt", effect.attempt},
                        {"target", effect.target},
@@ -125,7 +125,7 @@
                        {"zone", effect.zone},
                        {"service", effect.service},
                        {"tenant", effect.tenant},
-                       {"key", open.terms.affinityKey},
+                       {"key", open.fields.affinityKey},
                        {"fill", effect.fill},
                        {"load_age_ms", effect.loadAge.count()},
                        {"table", effect.tableVersion},
@@ -134,12 +134,12 @@
                        {"view_age_ms", viewAge().count()},
                        {"time_left_ms", std::chrono::duration_cast<Milliseconds>(effect.timeLeft).count()}});
     open.calls[attempt] = m_client->start(std::move(call), [this, id, attempt, target, sentAt](HttpResult result) {
-        AnswerFields terms;
+        AnswerFields fields;
         if (result.kind == HttpResult::Kind::Answered) {
-            terms = m_dialect.readAnswer(result.answer);
-            onTargetSignal(target, terms, sentAt);
+            fields = m_dialect.readAnswer(result.answer);
+            onTargetSignal(target, fields, sentAt);
         }
-        onAttemptEnded(id, attempt, target, terms, std::move(result));
+        onAttemptEnded(id, attempt, target, fields, std::move(result));
     });
 }
 
@@ -156,17 +156,17 @@
     }
 }
 
-// Only an answer that would be passed on whole is begun; all others come whole first.
-bool GatewayDaemon::Impl::onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerFields &terms,
+// Streams only an answer that is passed on in any case; all others are buffered first.
+bool GatewayDaemon::Impl::onAnswerBegun(RequestId id, unsigned attempt, const Answer &head, const AnswerFields &fields,
                                         std::uint64_t length)
 {
-    if (terms.isWrongTarget || !terms.isExecuted || !terms.hasRequiredFields) {
+    if (fields.isWrongTarget || !fields.isExecuted || !fields.hasRequiredFields) {
         return false;
     }
     {
         const std::lock_guard lock(m_mutex);
         OpenExchange *const open = findOpen(id);
-        if (open == nullptr || open->begunAttempt != 0) {
+        if (open == nullptr || open->streamedAttempt != 0) {
             return false;
         }
         open->answer = head;
@@ -175,20 +175,20 @@
     reduce(AnswerBegun{id, attempt});
     const std::lock_guard lock(m_mutex);
     const OpenExchange *const open = findOpen(id);
-    return open != nullptr && open->begunAttempt == attempt;
+    return open != nullptr && open->streamedAttempt == attempt;
 }
 
 void GatewayDaemon::Impl::onAnswerPart(RequestId id, unsigned attempt, std::string_view part)
 {
     const std::lock_guard lock(m_mutex);
     OpenExchange *const open = findOpen(id);
-    if (open != nullptr && open->begunAttempt == attempt) {
+    if (open != nullptr && open->streamedAttempt == attempt) {
         open->exchange->more(part);
     }
 }
 
-AttemptEnded GatewayDaemon::Impl::readResult(RequestId id, unsigned attempt, const AnswerFields &terms,
-                                             HttpResult &result)
+AttemptEnded GatewayDaemon::Impl::classifyResult(RequestId id, unsigned attempt, const AnswerFields &fields,
+                                                 HttpResult &result)
 {
     AttemptEnded ended{id, attempt, AttemptOutcome::Lost, {}, 0};
     if (result.kind == HttpResult::Kind::NotSent) {
@@ -199,13 +199,13 @@
         ended.outcome = result.timedOut ? AttemptOutcome::TimedOut : AttemptOutcome::Lost;
         return ended;
     }
-    ended.load = terms.load;
-    if (terms.isWrongTarget) {
+    ended.load = fields.load;
+    if (fields.isWrongTarget) {
         ended.outcome = AttemptOutcome::WrongTarget;
-    } else if (!terms.isExecuted) {
+    } else if (!fields.isExecuted) {
         ended.outcome = AttemptOutcome::Shed;
-    } else if (!terms.hasRequiredFields) {
-        result.reason = "the answer lacks what a target's answer bears";
+    } else if (!fields.hasRequiredFields) {
+        result.reason = "the answer lacks a required header";
         ended.outcome = AttemptOutcome::Lost;
     } else {
         ended.outcome = AttemptOutcome::Answered;
@@ -215,9 +215,9 @@
 }
 
 void GatewayDaemon::Impl::onAttemptEnded(RequestId id, unsigned attempt, const Incarnation &target,
-                                         const AnswerFields &terms, HttpResult result)
+                                         const AnswerFields &fields, HttpResult result)
 {
-    AttemptEnded ended = readResult(id, attempt, terms, result);
+    AttemptEnded ended = classifyResult(id, attempt, fields, result);
     {
         const std::lock_guard lock(m_mutex);
         OpenExchange *const open = findOpen(id);
@@ -226,9 +226,9 @@
         }
         open->calls.erase(attempt);
         ended.isConnectionLost = result.isConnectionLost;
-        ended.answerBytes = open->begunAttempt == attempt ? open->length : result.answer.body.size();
+        ended.answerBytes = open->streamedAttempt == attempt ? open->length : result.answer.body.size();
         m_events.decision("attempt-ended",
-                          {{"request", open->terms.requestId},
+                          {{"request", open->fields.requestId},
                            {"digest", open->digest},
                            {"attempt", attempt},
                            {"target", target.id},
@@ -237,7 +237,7 @@
                            {"reason", result.reason},
                            {"connection_ended", result.isConnectionLost},
                            {"refused", result.isRefused},
-                           {"signal", countSignal(terms.backpressure)}});
+                           {"signal", countSignal(fields.backpressure)}});
         if (ended.outcome == AttemptOutcome::Answered) {
             open->answer = std::move(result.answer);
         }
@@ -252,11 +252,11 @@
     if (open == nullptr) {
         return;
     }
-    open->begunAttempt = effect.attempt;
+    open->streamedAttempt = effect.attempt;
     Answer head = open->answer;
     head.headers = endToEndHeaders(head.headers);
     m_events.decision("answer-begun",
-                      {{"request", open->terms.requestId},
+                      {{"request", open->fields.requestId},
                        {"attempt", effect.attempt},
                        {"status", head.status},
                        {"bytes", open->length},
@@ -272,9 +272,9 @@
     }
     m_metrics.count(std::string("pepperlug_aborts{reason=\"") + nameOf(effect.reason) + "\"}");
     m_events.decision("aborted",
-                      {{"request", open->terms.requestId},
+                      {{"request", open->fields.requestId},
                        {"reason", nameOf(effect.reason)},
-                       {"attempt", open->begunAttempt},
+                       {"attempt", open->streamedAttempt},
                        {"took_ms", secondsOf(m_clock.now() - open->arrivedAt) * 1000}});
     open->exchange->abort();
     m_open.erase(static_cast<std::uint64_t>(effect.id));
@@ -291,11 +291,11 @@
     const Duration took = m_clock.now() - open->arrivedAt;
     m_metrics.latency("pepperlug_request_seconds", took);
     m_events.decision("answered",
-                      {{"request", open->terms.requestId},
+                      {{"request", open->fields.requestId},
                        {"attempt", effect.attempt},
                        {"status", answer.status},
                        {"took_ms", secondsOf(took) * 1000}});
-    if (open->begunAttempt == 0) {
+    if (open->streamedAttempt == 0) {
         open->exchange->respond(answer);
     }
     m_open.erase(static_cast<std::uint64_t>(effect.id));
@@ -310,7 +310,7 @@
     const Duration took = m_clock.now() - open->arrivedAt;
     m_metrics.count(std::string("pepperlug_refusals{reason=\"") + nameOf(effect.reason) + "\"}");
     m_events.decision("refused",
-                      {{"request", open->terms.requestId},
+                      {{"request", open->fields.requestId},
                        {"digest", open->digest},
                        {"reason", nameOf(effect.reason)},
                        {"route", effect.route},
@@ -320,7 +320,7 @@
                        {"view_age_ms", viewAge().count()},
                        {"retry_after_ms", effect.retryAfter.count()},
                        {"took_ms", secondsOf(took) * 1000}});
-    open->exchange->respond(m_dialect.refusal({open->terms.requestId, effect.reason, effect.retryAfter}));
+    open->exchange->respond(m_dialect.refusal({open->fields.requestId, effect.reason, effect.retryAfter}));
     m_open.erase(static_cast<std::uint64_t>(effect.id));
 }
 
--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -1,8 +1,8 @@
-//===- GatewayRouting.cpp - The routing that an entry host decides by -----===//
+//===- GatewayRouting.cpp - Routing of an entry host ----------------------===//
 //
-// The followed control host tells with each reply how new its routing is. Short changes come with the reply; long ones
-// are fetched apart and may take as long as the link needs, while departures of targets and the signs of life of this
-// host go on beside them.
+// The followed control host advertises the log index of its routing in each reply. Short changes come with the reply.
+// Long ones are fetched separately and may take as long as the link needs, while departures of targets and heartbeats
+// of this host pass beside them.
 //
 //===----------------------------------------------------------------------===//
 #include "../Daemon/HttpStatus.h"
@@ -14,29 +14,30 @@
 namespace
 {
 
-/// Time without a byte after which a fetch is given up; with the next reply it is begun anew. The farthest way and back
-/// takes 70 ms, and packets that wait much longer on a link are the exception.
-constexpr Milliseconds FetchSilence{1000};
+/// Time without a byte after which a fetch is given up; the next reply starts it again. The longest round trip takes 70
+/// ms, and packets rarely wait much longer on a link.
+constexpr Milliseconds FetchIdleTimeout{1000};
 
 } // namespace
 
-void GatewayDaemon::Impl::followRouting(const Address &from, const FleetWatchReply &reply)
+void GatewayDaemon::Impl::updateRouting(const Address &from, const FleetWatchReply &reply)
 {
-    bool isWholeWanted = false;
+    bool needsFullRouting = false;
     {
         const std::lock_guard lock(m_mutex);
-        // Said with the next ask, so that it is held back although this host has not got the newest yet.
+        // The next request reports the advertised index, so that its reply is held although this host still lacks that
+        // routing.
         m_routingLag.addAdvertised(reply.routingIndex, m_clock.now());
         if (reply.routingIndex <= m_routing.index || m_isFetchingRouting) {
             return;
         }
-        isWholeWanted = m_wantsWholeRouting;
+        needsFullRouting = m_needsFullRouting;
     }
-    if (reply.routingChanges.empty() || isWholeWanted) {
+    if (reply.routingChanges.empty() || needsFullRouting) {
         fetchRouting(from);
         return;
     }
-    adoptRouting(from, reply.routingChanges);
+    applyRouting(from, reply.routingChanges);
 }
 
 void GatewayDaemon::Impl::fetchRouting(const Address &from)
@@ -45,39 +46,39 @@
     {
         const std::lock_guard lock(m_mutex);
         m_isFetchingRouting = true;
-        call.index = m_wantsWholeRouting ? 0 : m_routing.index;
+        call.index = m_needsFullRouting ? 0 : m_routing.index;
     }
-    const TimePoint askedAt = m_clock.now();
+    const TimePoint sentAt = m_clock.now();
     m_net.call(
-        from, path::FleetRouting, encode(call), FetchSilence,
-        [this, from, askedAt](const PeerReply &reply) { onRoutingFetched(from, askedAt, reply); }, CallLimit::Silence);
+        from, path::FleetRouting, encode(call), FetchIdleTimeout,
+        [this, from, sentAt](const PeerReply &reply) { onRoutingFetched(from, sentAt, reply); }, CallLimit::Silence);
 }
 
-void GatewayDaemon::Impl::onRoutingFetched(const Address &from, TimePoint askedAt, const PeerReply &reply)
+void GatewayDaemon::Impl::onRoutingFetched(const Address &from, TimePoint sentAt, const PeerReply &reply)
 {
     {
         const std::lock_guard lock(m_mutex);
         m_isFetchingRouting = false;
     }
-    const auto took = std::chrono::duration_cast<Milliseconds>(m_clock.now() - askedAt);
+    const auto took = std::chrono::duration_cast<Milliseconds>(m_clock.now() - sentAt);
     if (!reply.delivered || reply.status != Ok) {
         m_events.state("routing-not-fetched",
                        {{"from", from.text()}, {"reason", reply.reason}, {"took_ms", took.count()}});
-        return; // the next reply, half a second later at most, begins anew
+        return; // retried with the next reply, half a second later at most
     }
     m_metrics.count("pepperlug_news_bytes{to=\"entry\"}", reply.body.size());
     m_events.state("routing-fetched", {{"from", from.text()}, {"bytes", reply.body.size()}, {"took_ms", took.count()}});
     try {
-        adoptRouting(from, decode<FleetRoutingReply>(reply.body, from.text()).changes);
+        applyRouting(from, decode<FleetRoutingReply>(reply.body, from.text()).changes);
     } catch (const Error &ex) {
         m_events.state("routing-unreadable", {{"from", from.text()}, {"reason", ex.what()}});
     }
-    tellAgeOfNews();
-    // Whoever waits for this host to have the change should not wait for the held-back reply too.
+    reportViewAge();
+    // A change waits for the confirmation of this host, which must not wait for the held reply.
     m_watch->restartPoll();
 }
 
-void GatewayDaemon::Impl::adoptRouting(const Address &from, const std::vector<std::string> &changes)
+void GatewayDaemon::Impl::applyRouting(const Address &from, const std::vector<std::string> &changes)
 {
     RoutingView before;
     {
@@ -90,7 +91,7 @@
     } catch (const Error &ex) {
         m_events.state("routing-unreadable", {{"from", from.text()}, {"reason", ex.what()}});
         const std::lock_guard lock(m_mutex);
-        m_wantsWholeRouting = true;
+        m_needsFullRouting = true;
         return;
     }
     if (after.index > before.index && after.table) {
@@ -105,34 +106,34 @@
         m_metrics.gauge("pepperlug_routing_index", static_cast<double>(after.index));
         reduce(RoutesChanged{after.table, after.evacuatedZones});
     }
-    // Last, since asks tell it: from then on others rely on it.
+    // Set last, since requests report it and other hosts rely on it from then on.
     const std::lock_guard lock(m_mutex);
-    m_wantsWholeRouting = false;
+    m_needsFullRouting = false;
     m_routingLag.setApplied(after.index);
     if (after.index > m_routing.index) {
         m_routing = std::move(after);
     }
 }
 
-void GatewayDaemon::Impl::tellAgeOfNews()
+void GatewayDaemon::Impl::reportViewAge()
 {
-    NewsReceived news;
+    NewsReceived received;
     {
         const std::lock_guard lock(m_mutex);
         if (!m_viewAsOf) {
             return;
         }
-        news.askedAt = *m_viewAsOf;
-        news.behindSince = m_routingLag.behindSince();
-        news.isComing = !m_wantsWholeRouting;
+        received.askedAt = *m_viewAsOf;
+        received.behindSince = m_routingLag.behindSince();
+        received.isComing = !m_needsFullRouting;
     }
-    m_metrics.gauge("pepperlug_routing_behind", news.behindSince ? 1 : 0);
-    reduce(news);
+    m_metrics.gauge("pepperlug_routing_behind", received.behindSince ? 1 : 0);
+    reduce(received);
 }
 
-// Log index such that nothing is decided by an older routing; the mutex is held. It may be one that has not arrived
-// yet: while this host decides nothing, nobody has to wait for it.
-std::uint64_t GatewayDaemon::Impl::actsUpon() const
+// Log index of the oldest routing by which this host decides. While it decides nothing, this may be an index that has
+// not arrived yet, so that nobody has to wait for it. The mutex is held.
+std::uint64_t GatewayDaemon::Impl::activeRoutingIndex() const
 {
     return m_balancer->isSuspended() ? m_routingLag.newestIndex() : m_routing.index;
 }
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -1,7 +1,7 @@
-//===- GatewaySuspects.cpp - Requests that end targets, at an entry host ---===//
+//===- GatewaySuspects.cpp - Suspect requests at an entry host ------------===//
 //
-// What this host noticed goes to the control host that it follows with its asks, until a reply tells that it was heard;
-// a control host that has started anew is told all that is known here.
+// This host repeats the suspects that it has noticed with each request to the followed control host until a reply
+// acknowledges them. A control host that has restarted gets all that this host knows.
 //
 //===----------------------------------------------------------------------===//
 #include "GatewayImpl.h"
@@ -13,17 +13,17 @@
 namespace
 {
 
-/// A caller waits for it, so it is short: to the control host, on to the leading one and back, up to 140 ms where the
-/// farthest way takes 35 ms, and as much again for hosts that are busy.
-constexpr Milliseconds TrialTimeout{400};
+/// A caller waits for it, so it is short: to the followed control host, to the leader and back takes up to 140 ms at 35
+/// ms for the longest way, and as much again for busy hosts.
+constexpr Milliseconds ProbeTimeout{400};
 
 } // namespace
 
 // The mutex is held.
-void GatewayDaemon::Impl::describeSuspects(FleetWatchCall &call, const std::string &epoch)
+void GatewayDaemon::Impl::addSuspectReports(FleetWatchCall &call, const std::string &epoch)
 {
     const Quarantine &quarantine = m_balancer->quarantine();
-    fillOffer(call.suspects, quarantine, m_toldSuspects, epoch, m_clock.now());
+    fillOffer(call.suspects, quarantine, m_acknowledgedSuspects, epoch, m_clock.now());
     m_metrics.gauge("pepperlug_suspects", static_cast<double>(quarantine.size()));
     m_metrics.gauge("pepperlug_requests_shut_out", static_cast<double>(quarantine.shutOut()));
 }
@@ -39,7 +39,7 @@
     call.method = "GET";
     call.resource = "/";
     call.connectsOnly = true;
-    call.timeout = ConnectTimeout; // no answer is no evidence
+    call.timeout = ConnectTimeout; // a missing answer proves nothing
     call.connectTimeout = ConnectTimeout;
     m_metrics.count("pepperlug_target_checks");
     m_client->start(std::move(call), [this, target = effect.target](const HttpResult &result) {
@@ -49,10 +49,10 @@
     });
 }
 
-// A host that serves has its routes from a control host, so one has replied.
+// A host that routes requests has its routes from a control host, so m_followedHost is set.
 void GatewayDaemon::Impl::carryOut(const AskTrial &effect)
 {
-    m_net.call(m_followed, path::FleetProbe, encode(FleetProbeCall{effect.digest}), TrialTimeout,
+    m_net.call(m_followedHost, path::FleetProbe, encode(FleetProbeCall{effect.digest}), ProbeTimeout,
                [this, effect](const PeerReply &reply) {
                    const auto [decided, reason] = readReply<FleetProbeReply>(reply, "control host");
                    const bool isGranted = decided && decided->isGranted;
@@ -63,7 +63,7 @@
 
 void GatewayDaemon::Impl::carryOut(const SuspectChanged &effect)
 {
-    m_hasNewsToTell |= effect.isOwn;
+    m_hasUnsentUpdates |= effect.isOwn;
     m_metrics.count("pepperlug_suspect_changes");
     m_events.state("suspect",
                    {{"digest", effect.digest},
