--- a/lib/Fleet/RegistryConfirmations.cpp
+++ b/lib/Fleet/RegistryConfirmations.cpp
@@ -1,9 +1,10 @@
-//===- RegistryConfirmations.cpp - What waits until it holds everywhere ---===//
+//===- RegistryConfirmations.cpp - Acknowledgements of a control host -----===//
 //
-// What is acknowledged holds. A target's departure is acknowledged when a majority of the control hosts knows of it, so
-// that it is not forgotten, and when all entry hosts that were heard within their lease have confirmed it, since only
-// they could break it. A change of the routing is acknowledged when it is agreed on and the entry hosts have confirmed
-// it likewise. Here is who has confirmed what, what this host owes to others, and what is acknowledged upon it.
+// What is acknowledged must hold. A target's departure is acknowledged when a majority of the control hosts knows it,
+// so that it isn't forgotten, and when all entry hosts whose lease is valid have confirmed it, since only these could
+// violate it. A routing change is acknowledged when it is committed and these entry hosts have confirmed it. This file
+// keeps track of the confirmations, sends those that other control hosts wait for, and acknowledges departures and
+// changes.
 //
 //===----------------------------------------------------------------------===//
 #include "../Daemon/HttpStatus.h"
@@ -17,30 +18,30 @@
 namespace
 {
 
-/// A confirmation that takes longer has been overtaken by an ask.
+/// Within this time a poll carries the confirmation, too.
 constexpr auto ConfirmTimeout = std::chrono::seconds(1);
-/// Part of the time in which operators expect an answer, for which a change waits for confirmations. The rest is for
-/// agreeing on it and for the ways. After it the operator is told to ask again: what is acknowledged holds. A host that
-/// lives confirms within a lease, and one that does not is not waited for longer, so this is seldom reached.
-constexpr double ConfirmPart = 0.75;
-/// Hosts that a line names.
-constexpr std::size_t NamedHosts = 5;
+/// Share of the acknowledge timeout for which a change waits for confirmations. The rest is for the commit and for
+/// network delays. After it the operator has to send the change again: what is acknowledged must hold. A live host
+/// confirms within a lease, and a dead one isn't waited for longer than that, so the timeout is rarely reached.
+constexpr double ConfirmShare = 0.75;
+/// Hosts that a log line names.
+constexpr std::size_t MaxNamedHosts = 5;
 
 std::vector<std::string> firstOf(std::vector<std::string> names)
 {
-    names.resize(std::min(names.size(), NamedHosts));
+    names.resize(std::min(names.size(), MaxNamedHosts));
     return names;
 }
 
 } // namespace
 
-void RegistryDaemon::Impl::noteConfirmations(const FleetWatchCall &ask, bool isSameEpoch, TimePoint now)
+void RegistryDaemon::Impl::recordConfirmations(const FleetWatchCall &request, bool isSameEpoch, TimePoint now)
 {
-    const HostReport &self = ask.self;
+    const HostReport &self = request.self;
     if (self.role == HostRole::Control) {
-        m_seenBy[self.peer] = ask.since;
-        // Positions of an earlier life of this host mean nothing now.
-        m_confirmations.peerConfirmed(self.peer, isSameEpoch ? ask.confirmed : NewsPosition{});
+        m_peerVersions[self.peer] = request.since;
+        // Versions of an earlier incarnation of this host are invalid.
+        m_confirmations.peerConfirmed(self.peer, isSameEpoch ? request.confirmed : NewsPosition{});
         return;
     }
     if (self.presence == Presence::Gone) {
@@ -49,25 +50,27 @@
     }
     const std::optional<NewsConfirmations::Follower> before = m_confirmations.follower(self.id);
     if (before && now - before->askedAt > m_settings.updateLease) {
-        // It was not waited for meanwhile, but may have gone on by what it knew.
+        // Its confirmation wasn't waited for meanwhile, but it may have gone on deciding by its old state.
         m_metrics.count("pepperlug_followers_out_of_lease");
         m_events.state("follower-was-late",
                        {{"host", self.id},
                         {"silent_ms", std::chrono::duration_cast<Milliseconds>(now - before->askedAt).count()},
                         {"had_routing", before->has.routing},
-                        {"has_routing", ask.routingIndex}});
+                        {"has_routing", request.routingIndex}});
     }
-    m_confirmations.followerHas(self.id, {ask.since, std::max(ask.routingIndex, ask.confirmed.routing)}, now);
+    m_confirmations.followerHas(self.id, {request.since, std::max(request.routingIndex, request.confirmed.routing)},
+                                now);
 }
 
-// An entry host that has nothing, and no fetch on its way from another control host: it begins with the reply to this
-// ask.
-bool RegistryDaemon::Impl::hasNothing(const FleetWatchCall &ask)
+// An entry host without state, and without a pending fetch from another control host: it starts with the reply to this
+// request.
+bool RegistryDaemon::Impl::isUninitialized(const FleetWatchCall &request)
 {
-    return ask.self.role == HostRole::Entry && ask.since == 0 && ask.routingIndex == 0 && ask.newestRoutingIndex == 0;
+    return request.self.role == HostRole::Entry && request.since == 0 && request.routingIndex == 0
+        && request.newestRoutingIndex == 0;
 }
 
-// What the first few of those that are missing have, as far as this host knows, for a line of the log.
+// State of the first few missing hosts, as far as this host knows it, for a log line.
 nlohmann::json RegistryDaemon::Impl::describeMissing(const std::vector<std::string> &names, TimePoint now) const
 {
     nlohmann::json hosts = nlohmann::json::array();
@@ -83,13 +86,13 @@
     return hosts;
 }
 
-bool RegistryDaemon::Impl::isNewestOf(const std::string &peer, const std::string &host, std::uint64_t sequence)
+bool RegistryDaemon::Impl::acceptSequence(const std::string &peer, const std::string &host, std::uint64_t sequence)
 {
-    TakenConfirmation &taken = m_takenConfirmations[peer];
-    if (taken.host == host && sequence <= taken.sequence) {
+    LastConfirmation &last = m_lastConfirmations[peer];
+    if (last.host == host && sequence <= last.sequence) {
         return false;
     }
-    taken = {host, sequence};
+    last = {host, sequence};
     return true;
 }
 
@@ -99,32 +102,32 @@
     {
         const std::lock_guard lock(m_mutex);
         const bool isSameEpoch = confirmation.epoch == m_epoch;
-        if (isSameEpoch && isNewestOf(confirmation.peer, confirmation.host, confirmation.sequence)) {
+        if (isSameEpoch && acceptSequence(confirmation.peer, confirmation.host, confirmation.sequence)) {
             m_confirmations.peerConfirmed(confirmation.peer, confirmation.confirmed);
-            settle(m_clock.now());
+            resolvePending(m_clock.now());
         }
     }
     call->reply(Ok, "");
 }
 
-void RegistryDaemon::Impl::oweConfirmation(const std::optional<Address> &to, NewsPosition position)
+void RegistryDaemon::Impl::queueConfirmation(const std::optional<Address> &to, NewsPosition position)
 {
     if (to && *to != m_settings.peer) {
-        m_owed.push_back({*to, position, m_clock.now() + 2 * m_settings.updateLease});
+        m_pendingConfirmations.push_back({*to, position, m_clock.now() + 2 * m_settings.updateLease});
     }
 }
 
-// Asks are held back by the other host, so a confirmation in the next one alone would come up to a third of a second
-// late. One that is lost comes with the next ask.
-void RegistryDaemon::Impl::sendOwedConfirmations(TimePoint now)
+// Polls are held by the other host, so a confirmation in the next one would come up to a third of a second late. A
+// confirmation that is lost comes with the next poll.
+void RegistryDaemon::Impl::sendPendingConfirmations(TimePoint now)
 {
     std::set<Address> reached;
-    std::erase_if(m_owed, [&](const OwedConfirmation &owed) {
-        const bool isReached = confirmedTo(owed.to, m_epochs[owed.to]).reaches(owed.position);
+    std::erase_if(m_pendingConfirmations, [&](const PendingConfirmation &pending) {
+        const bool isReached = confirmedTo(pending.to, m_epochs[pending.to]).reaches(pending.position);
         if (isReached) {
-            reached.insert(owed.to);
+            reached.insert(pending.to);
         }
-        return isReached || now > owed.until;
+        return isReached || now > pending.until;
     });
     for (const Address &to : reached) {
         const std::string &epoch = m_epochs[to];
@@ -133,7 +136,7 @@
     }
 }
 
-// Entry hosts may follow a control host that has ended for as long as their lease goes on.
+// Entry hosts may follow a control host that has ended until their lease expires.
 std::vector<std::string> RegistryDaemon::Impl::followedControlHosts(TimePoint now) const
 {
     std::vector<std::string> hosts;
@@ -147,16 +150,16 @@
     return hosts;
 }
 
-// Whether each entry host in touch has had time to ask some control host since this one started; the followers of its
-// former life may not have asked it again before.
+// Returns true if each live entry host has had time to poll some control host since this one started. Followers of its
+// earlier incarnation may not have polled it again before.
 bool RegistryDaemon::Impl::knowsFollowers(TimePoint now) const
 {
     return m_settings.isFirstStart || now - m_startedAt > m_settings.updateLease;
 }
 
-// Entry hosts that ask a control host which has no majority, or lacks what was agreed on, are told at once to ask
-// another one. A lease later none goes by what this one knows, so nobody has to wait until it has caught up.
-bool RegistryDaemon::Impl::isFollowedByNobody(TimePoint now) const
+// A control host without a majority, or without the committed changes, redirects entry hosts at once to another one. A
+// lease later none acts on its state, so nobody has to wait until it has caught up.
+bool RegistryDaemon::Impl::hasNoFollowers(TimePoint now) const
 {
     return !m_wasCurrent && now - m_notCurrentSince > m_settings.updateLease;
 }
@@ -164,13 +167,13 @@
 NewsPosition RegistryDaemon::Impl::confirmedTo(const Address &to, const std::string &epoch) const
 {
     const TimePoint now = m_clock.now();
-    if (isFollowedByNobody(now)) {
+    if (hasNoFollowers(now)) {
         return NewsPosition::everything();
     }
     return knowsFollowers(now) ? m_confirmations.confirmedTo(to.text(), epoch, m_routing.index(), now) : NewsPosition{};
 }
 
-// Names of hosts that may still act upon older news; empty if a position holds everywhere.
+// Names of the hosts that may still act on older state; empty if the position holds everywhere.
 std::vector<std::string> RegistryDaemon::Impl::unconfirmed(NewsPosition position, TimePoint now) const
 {
     if (!knowsFollowers(now)) {
@@ -179,37 +182,37 @@
     return m_confirmations.missing(position, followedControlHosts(now), now);
 }
 
-void RegistryDaemon::Impl::settle(TimePoint now)
+void RegistryDaemon::Impl::resolvePending(TimePoint now)
 {
-    settleDepartures(now);
-    settleChanges(now);
-    sendOwedConfirmations(now);
+    resolveDepartures(now);
+    resolveChanges(now);
+    sendPendingConfirmations(now);
 }
 
-void RegistryDaemon::Impl::settleDepartures(TimePoint now)
+void RegistryDaemon::Impl::resolveDepartures(TimePoint now)
 {
     if (m_departures.empty()) {
         return;
     }
     const ControlLogStatus status = m_log->status();
-    const auto isSpread = [&](const Departure &departure) {
+    const auto isKnownToMajority = [&](const Departure &departure) {
         std::size_t voters = 0;
-        std::size_t knowing = 0;
+        std::size_t informed = 0;
         for (const ControlMember &member : status.members) {
             if (!member.voter) {
                 continue;
             }
-            const auto seen = m_seenBy.find(member.name);
-            const bool knows =
-                member.name == m_settings.peer.text() || (seen != m_seenBy.end() && seen->second >= departure.version);
+            const auto seen = m_peerVersions.find(member.name);
+            const bool knows = member.name == m_settings.peer.text()
+                || (seen != m_peerVersions.end() && seen->second >= departure.version);
             ++voters;
-            knowing += knows ? 1 : 0;
+            informed += knows ? 1 : 0;
         }
-        return knowing * 2 > voters;
+        return informed * 2 > voters;
     };
     std::erase_if(m_departures, [&](const Departure &departure) {
         const std::vector<std::string> missing = unconfirmed({departure.version, 0}, now);
-        const bool isDone = missing.empty() && isSpread(departure);
+        const bool isDone = missing.empty() && isKnownToMajority(departure);
         if (!isDone && now < departure.until) {
             return false;
         }
@@ -225,16 +228,17 @@
     });
 }
 
-void RegistryDaemon::Impl::awaitConfirmation(const HttpExchangePtr &exchange, const std::string &subject, bool isAgain)
+void RegistryDaemon::Impl::awaitConfirmation(const HttpExchangePtr &exchange, const std::string &subject,
+                                             bool isRepeated)
 {
     const TimePoint now = m_clock.now();
     const std::lock_guard lock(m_mutex);
-    const auto patience = std::chrono::duration_cast<Duration>(m_settings.bounds.acknowledgeTimeout * ConfirmPart);
-    m_changes.push_back({exchange, subject, isAgain, m_routing.index(), now, now + patience});
-    settleChanges(now);
+    const auto timeout = std::chrono::duration_cast<Duration>(m_settings.bounds.acknowledgeTimeout * ConfirmShare);
+    m_changes.push_back({exchange, subject, isRepeated, m_routing.index(), now, now + timeout});
+    resolveChanges(now);
 }
 
-void RegistryDaemon::Impl::settleChanges(TimePoint now)
+void RegistryDaemon::Impl::resolveChanges(TimePoint now)
 {
     std::erase_if(m_changes, [&](const Change &change) {
         const std::vector<std::string> missing = unconfirmed({0, change.index}, now);
@@ -252,7 +256,7 @@
         }
         m_events.decision("change-acknowledged",
                           {{"change", change.subject},
-                           {"again", change.isAgain},
+                           {"again", change.isRepeated},
                            {"took_ms", std::chrono::duration_cast<Milliseconds>(now - change.since).count()}});
         m_metrics.latency("pepperlug_change_seconds", now - change.since);
         change.exchange->respond(m_dialect.controlAnswer(ControlAnswer::Done, {}));
--- a/lib/Fleet/RegistryDaemon.cpp
+++ b/lib/Fleet/RegistryDaemon.cpp
@@ -1,7 +1,7 @@
-//===- RegistryDaemon.cpp - Life of a control host ------------------------===//
+//===- RegistryDaemon.cpp - Lifecycle of a control host -------------------===//
 //
-// Two kinds of state. What operators decide is agreed on through the replicated log. What targets and hosts report is
-// spread from each control host to all others, without agreement: it is renewed all the time.
+// There are two kinds of state. Operators' changes are committed through the replicated log. Reports of targets and
+// hosts are passed from each control host to all others without consensus, since they are renewed all the time.
 //
 //===----------------------------------------------------------------------===//
 #include "MetricsServer.h"
@@ -17,17 +17,17 @@
 
 constexpr Milliseconds TickInterval{25};
 constexpr Milliseconds JoinInterval{300};
-constexpr Milliseconds PeerPatience{300};
+constexpr Milliseconds PeerMaxWait{300};
 constexpr auto MessageTimeout = std::chrono::seconds(1);
 constexpr auto SnapshotTimeout = std::chrono::seconds(5);
 constexpr std::size_t IncarnationBytes = 8;
-/// Silence is judged only by a host that has itself been in touch for so long.
-constexpr auto TimeToJudge = std::chrono::seconds(3);
-/// How often at most the file of what is known is written.
-constexpr Milliseconds RememberInterval{500};
-constexpr const char *RememberedFile = "remembered";
+/// A host must have had contact to a majority for that long before it marks others as silent.
+constexpr auto MinCurrentTime = std::chrono::seconds(3);
+/// Shortest interval between two writes of the cache file.
+constexpr Milliseconds CacheWriteInterval{500};
+constexpr const char *CacheFileName = "remembered";
 constexpr std::size_t MaxTableBytes = 4UL << 20;
-constexpr Milliseconds LastAnswers{300};
+constexpr Milliseconds FinalAnswersTime{300};
 
 HttpLimits operatorLimits()
 {
@@ -42,7 +42,7 @@
     log.name = settings.peer.text();
     log.zone = settings.zone;
     log.dataFolder = settings.dataFolder;
-    // The seeds of the first start found the group; all others join it.
+    // The seeds of the first start are the initial members; all other hosts join them.
     for (const Address &seed : settings.seeds) {
         log.initialMembers.push_back(Address{seed.ip, settings.peer.port}.text());
         log.isInitialMember |= settings.isFirstStart && seed == settings.operators;
@@ -70,7 +70,7 @@
                     {"zone", m_settings.zone},
                     {"disk", m_log->diskId()},
                     {"first_start", m_settings.isFirstStart}});
-    recallRemembered();
+    restoreCachedState();
     m_net.listen(m_settings.peerListen.value_or(m_settings.peer),
                  [this](const IncomingCallPtr &call) { onPeerCall(call); });
     m_log->start();
@@ -102,61 +102,61 @@
         const std::lock_guard lock(m_mutex);
         reportSelf(now);
         expire(now);
-        replyWatchers(now);
-        settle(now);
-        followCallers(now);
-        followQuotas(now);
-        remember(now);
+        replyToWatchers(now);
+        resolvePending(now);
+        updateCallerShares(now);
+        updateQuotas(now);
+        saveCachedState(now);
     }
-    askToJoin(now);
-    followPeers(now);
+    requestMembership(now);
+    pollPeers(now);
 }
 
-void RegistryDaemon::Impl::recallRemembered()
+void RegistryDaemon::Impl::restoreCachedState()
 {
     try {
-        m_remembered = readCachedState(m_settings.dataFolder + "/" + RememberedFile);
-        if (m_remembered) {
-            m_rememberedHistory.append(viewOf(m_remembered->routing));
-            hearSuspects(m_remembered->suspects, false, m_clock.now());
-            m_quotas.recall(m_remembered->loads);
+        m_cached = readCachedState(m_settings.dataFolder + "/" + CacheFileName);
+        if (m_cached) {
+            m_cachedHistory.append(viewOf(m_cached->routing));
+            mergeSuspects(m_cached->suspects, false, m_clock.now());
+            m_quotas.recall(m_cached->loads);
         }
     } catch (const Error &ex) {
-        // Only the time until everybody has reported is lost.
+        // Without the file this host lacks targets only until all have reported.
         m_events.state("remembered-unreadable", {{"reason", ex.what()}});
-        m_remembered.reset();
+        m_cached.reset();
     }
-    if (m_remembered) {
-        m_events.state("remembered",
-                       {{"routing", m_remembered->routing.index()}, {"targets", m_remembered->targets.size()}});
+    if (m_cached) {
+        m_events.state("remembered", {{"routing", m_cached->routing.index()}, {"targets", m_cached->targets.size()}});
     }
 }
 
-void RegistryDaemon::Impl::remember(TimePoint now)
+void RegistryDaemon::Impl::saveCachedState(TimePoint now)
 {
-    if (m_remembered && now - m_startedAt > RememberedTime) {
-        m_remembered.reset();
+    if (m_cached && now - m_startedAt > RememberedTime) {
+        m_cached.reset();
     }
-    // Sums move all the time; they are worth a write of the file only where a limit binds, or did when it was written.
-    const bool hasNewLimits = m_quotas.version() != m_rememberedLoads && (m_quotas.binds() || m_remembersLimits);
-    const bool isNew = m_registry.changedVersion() != m_rememberedVersion || m_routing.index() != m_rememberedIndex
-        || m_quarantine.version() != m_rememberedSuspects || hasNewLimits;
-    // Until this host knows more than the file does, the file stays.
-    if (m_remembered || m_routing.index() == 0 || !isNew || now < m_nextRemember) {
+    // The sums change all the time. They are worth a write only if a limit is in effect, or was at the last write.
+    const bool hasNewLimits = m_quotas.version() != m_cachedLoadsVersion && (m_quotas.binds() || m_hasCachedLimits);
+    const bool isNew = m_registry.changedVersion() != m_cachedRegistryVersion
+        || m_routing.index() != m_cachedRoutingIndex || m_quarantine.version() != m_cachedSuspectsVersion
+        || hasNewLimits;
+    // The file is kept until this host knows more than it holds.
+    if (m_cached || m_routing.index() == 0 || !isNew || now < m_nextCacheWrite) {
         return;
     }
-    m_nextRemember = now + RememberInterval;
-    m_rememberedVersion = m_registry.changedVersion();
-    m_rememberedIndex = m_routing.index();
-    m_rememberedSuspects = m_quarantine.version();
-    m_rememberedLoads = m_quotas.version();
-    m_remembersLimits = m_quotas.binds();
-    CachedState remembered = makeCachedState(m_routing, m_registry);
-    remembered.suspects = m_quarantine.changedSince(0, NewsReader::ControlHost, now);
-    remembered.loads = m_quotas.loads();
-    m_writer->post([this, remembered = std::move(remembered)] {
+    m_nextCacheWrite = now + CacheWriteInterval;
+    m_cachedRegistryVersion = m_registry.changedVersion();
+    m_cachedRoutingIndex = m_routing.index();
+    m_cachedSuspectsVersion = m_quarantine.version();
+    m_cachedLoadsVersion = m_quotas.version();
+    m_hasCachedLimits = m_quotas.binds();
+    CachedState cached = makeCachedState(m_routing, m_registry);
+    cached.suspects = m_quarantine.changedSince(0, NewsReader::ControlHost, now);
+    cached.loads = m_quotas.loads();
+    m_writer->post([this, cached = std::move(cached)] {
         try {
-            writeCachedState(m_settings.dataFolder + "/" + RememberedFile, remembered);
+            writeCachedState(m_settings.dataFolder + "/" + CacheFileName, cached);
         } catch (const Error &ex) {
             m_events.state("remember-failed", {{"reason", ex.what()}});
         }
@@ -197,7 +197,7 @@
         m_events.state(isCurrent ? "majority-regained" : "majority-lost", {{"term", m_log->status().term}});
     }
     m_wasCurrent = isCurrent;
-    m_registry.expire(now, isCurrent && now - m_currentSince > TimeToJudge);
+    m_registry.expire(now, isCurrent && now - m_currentSince > MinCurrentTime);
     m_backpressure.forget(now);
     if (m_quarantine.forget(now)) {
         m_metrics.gauge("pepperlug_suspects", static_cast<double>(m_quarantine.size()));
@@ -227,7 +227,7 @@
     return {addresses.begin(), addresses.end()};
 }
 
-void RegistryDaemon::Impl::askToJoin(TimePoint now)
+void RegistryDaemon::Impl::requestMembership(TimePoint now)
 {
     const ControlLogStatus status = m_log->status();
     const std::string name = m_settings.peer.text();
@@ -245,7 +245,7 @@
     }
 }
 
-void RegistryDaemon::Impl::followPeers(TimePoint now)
+void RegistryDaemon::Impl::pollPeers(TimePoint now)
 {
     const std::vector<Address> known = knownControlHosts();
     std::vector<ControlWatch *> watches;
@@ -267,14 +267,14 @@
                 hooks.candidates = [peer] {
                     return std::vector<Address>{peer};
                 };
-                hooks.onReply = [this](const ReplyInfo &receipt, const FleetWatchReply &reply) {
-                    return onPeerNews(receipt, reply);
+                hooks.onReply = [this](const ReplyInfo &info, const FleetWatchReply &reply) {
+                    return onPeerReply(info, reply);
                 };
                 hooks.onLink = [this](const Address &to, bool isLost, const std::string &reason) {
                     m_events.state(isLost ? "control-host-lost" : "control-host-regained",
                                    {{"peer", to.text()}, {"reason", reason}});
                 };
-                watch = std::make_unique<ControlWatch>(m_net, m_clock, PeerPatience, std::move(hooks));
+                watch = std::make_unique<ControlWatch>(m_net, m_clock, PeerMaxWait, std::move(hooks));
             }
             watches.push_back(watch.get());
         }
@@ -293,8 +293,8 @@
         result = m_routing.apply(decoded, index);
         if (result == RoutingResult::Done) {
             publishRouting();
-            oweConfirmation(Address::parse(m_log->status().leader), {0, index});
-            replyWatchers(m_clock.now());
+            queueConfirmation(Address::parse(m_log->status().leader), {0, index});
+            replyToWatchers(m_clock.now());
         }
     }
     if (result == RoutingResult::Done) {
@@ -320,7 +320,7 @@
     const std::lock_guard lock(m_mutex);
     m_routing.restore(data);
     publishRouting();
-    replyWatchers(m_clock.now());
+    replyToWatchers(m_clock.now());
 }
 
 RoutingView RegistryDaemon::Impl::viewOf(const RoutingState &routing) const
@@ -329,10 +329,10 @@
     if (routing.text().empty()) {
         return view;
     }
-    // A version stands for one document, so an evacuation needs no second reading of it.
+    // A version identifies one document, so an evacuation doesn't need to parse it again.
     const std::shared_ptr<const RouteTable> &newest = m_history.view().table;
-    const bool isRead = newest && newest->version == routing.version();
-    view.table = isRead ? newest : std::make_shared<const RouteTable>(m_dialect.readTable(routing.text()));
+    const bool isParsed = newest && newest->version == routing.version();
+    view.table = isParsed ? newest : std::make_shared<const RouteTable>(m_dialect.readTable(routing.text()));
     return view;
 }
 
@@ -341,7 +341,7 @@
     try {
         m_history.append(viewOf(m_routing));
     } catch (const Error &ex) {
-        // It was checked before it was agreed on, so this host speaks another version of the dialect.
+        // The table was checked before it was committed, so this host runs another version of the dialect.
         m_events.state("table-unreadable", {{"index", m_routing.index()}, {"reason", ex.what()}});
         return;
     }
@@ -376,7 +376,7 @@
 
 void RegistryDaemon::Impl::logFailed(const std::string &reason)
 {
-    // What is on the disk is not known any more, so nothing more may be promised.
+    // The contents of the disk are unknown now, so nothing more may be acknowledged.
     m_events.state("disk-failed", {{"reason", reason}});
     std::_Exit(1);
 }
@@ -401,9 +401,9 @@
         m_isLeaving = true;
         m_nextSelfReport = {};
         reportSelf(m_clock.now());
-        replyWatchers(m_clock.now());
+        replyToWatchers(m_clock.now());
     }
-    std::this_thread::sleep_for(LastAnswers);
+    std::this_thread::sleep_for(FinalAnswersTime);
 }
 
 Address RegistryDaemon::Impl::operatorsAddress() const
--- a/lib/Fleet/RegistryImpl.h
+++ b/lib/Fleet/RegistryImpl.h
@@ -12,7 +12,7 @@
 namespace pepperlug::fleet
 {
 
-/// How often a control host renews what it says of itself.
+/// Interval at which a control host renews its own report.
 constexpr Milliseconds SelfReportInterval{500};
 
 class RegistryDaemon::Impl final : public ControlLogClient
@@ -41,12 +41,11 @@
     void reportSelf(TimePoint now);
     HostReport selfReport();
     void expire(TimePoint now);
-    void askToJoin(TimePoint now);
+    void requestMembership(TimePoint now);
     std::vector<Address> knownControlHosts();
-    void followPeers(TimePoint now);
-
-    void remember(TimePoint now);
-    void recallRemembered();
+    void pollPeers(TimePoint now);
+    void saveCachedState(TimePoint now);
+    void restoreCachedState();
 
     // RegistryPeers.cpp
     void onPeerCall(const IncomingCallPtr &call);
@@ -54,44 +53,48 @@
     void onControlHosts(const IncomingCallPtr &call);
     void onWatch(const IncomingCallPtr &call);
     void onAlive(const IncomingCallPtr &call);
-    /// What another host says of itself and asks for.
-    struct HeardAsk {
-        FleetWatchCall ask;
-        bool isNewest = false; ///< of those that this life of it sent here
+
+    /// A request of another host.
+    struct ReceivedCall {
+        FleetWatchCall request;
+        bool isNewest = false; ///< of the requests that this incarnation of the host sent here
     };
 
-    HeardAsk hear(const IncomingCallPtr &call, TimePoint now);
+    /// Merges the reports and confirmations of a request. In the returned one the versions of earlier incarnations of
+    /// this host are reset, and the reports are moved out.
+    ReceivedCall receiveCall(const IncomingCallPtr &call, TimePoint now);
     void onRouting(const IncomingCallPtr &call);
-    const RoutingHistory &historyFor(bool knowsNothing) const;
-    bool hasNews(const FleetWatchCall &call) const;
-    bool hasLoadsFor(const FleetWatchCall &call) const;
+    const RoutingHistory &historyFor(bool hasNoState) const;
+    bool hasUpdates(const FleetWatchCall &call) const;
+    bool hasLoadUpdates(const FleetWatchCall &call) const;
     FleetWatchReply makeReply(const FleetWatchCall &call, TimePoint now) const;
-    void replyWatchers(TimePoint now);
-    bool onPeerNews(const ReplyInfo &receipt, const FleetWatchReply &reply);
+    void replyToWatchers(TimePoint now);
+    bool onPeerReply(const ReplyInfo &info, const FleetWatchReply &reply);
 
-    void hearBackpressure(const std::vector<BackpressureReport> &reports, bool isDirect, TimePoint now);
+    void mergeBackpressure(const std::vector<BackpressureReport> &reports, bool isDirect, TimePoint now);
 
     // RegistrySuspects.cpp
-    void hearSuspects(const std::vector<SuspectReport> &suspects, bool isDirect, TimePoint now);
-    void onTrial(const IncomingCallPtr &call);
+    void mergeSuspects(const std::vector<SuspectReport> &suspects, bool isDirect, TimePoint now);
+    void onProbe(const IncomingCallPtr &call);
 
     // RegistryConfirmations.cpp
-    void noteConfirmations(const FleetWatchCall &ask, bool isSameEpoch, TimePoint now);
-    static bool hasNothing(const FleetWatchCall &ask);
+    void recordConfirmations(const FleetWatchCall &request, bool isSameEpoch, TimePoint now);
+    static bool isUninitialized(const FleetWatchCall &request);
     std::vector<std::string> followedControlHosts(TimePoint now) const;
     bool knowsFollowers(TimePoint now) const;
     void onConfirm(const IncomingCallPtr &call);
-    bool isNewestOf(const std::string &peer, const std::string &host, std::uint64_t sequence);
-    void oweConfirmation(const std::optional<Address> &to, NewsPosition position);
-    void sendOwedConfirmations(TimePoint now);
-    bool isFollowedByNobody(TimePoint now) const;
+    /// Returns false if a newer confirmation of this incarnation of the host has been received.
+    bool acceptSequence(const std::string &peer, const std::string &host, std::uint64_t sequence);
+    void queueConfirmation(const std::optional<Address> &to, NewsPosition position);
+    void sendPendingConfirmations(TimePoint now);
+    bool hasNoFollowers(TimePoint now) const;
     NewsPosition confirmedTo(const Address &to, const std::string &epoch) const;
     nlohmann::json describeMissing(const std::vector<std::string> &names, TimePoint now) const;
     std::vector<std::string> unconfirmed(NewsPosition position, TimePoint now) const;
-    void settle(TimePoint now);
-    void settleDepartures(TimePoint now);
-    void awaitConfirmation(const HttpExchangePtr &exchange, const std::string &subject, bool isAgain);
-    void settleChanges(TimePoint now);
+    void resolvePending(TimePoint now);
+    void resolveDepartures(TimePoint now);
+    void awaitConfirmation(const HttpExchangePtr &exchange, const std::string &subject, bool isRepeated);
+    void resolveChanges(TimePoint now);
 
     // RegistryRequests.cpp
     void onHttp(const HttpExchangePtr &exchange);
@@ -103,37 +106,36 @@
     void answer(const HttpExchangePtr &exchange, const UnknownCall &request);
     void refuseCall(const HttpExchangePtr &exchange, ControlAnswer kind, const std::string &reason);
     bool isOfUnknownService(const TargetReport &report) const;
-    void decide(const HttpExchangePtr &exchange, const RoutingCommand &command, const std::string &subject);
-    void respondDecided(const HttpExchangePtr &exchange, RoutingResult result, const std::string &subject);
-    void sendElsewhere(const HttpExchangePtr &exchange, const std::string &leader);
+    void proposeCommand(const HttpExchangePtr &exchange, const RoutingCommand &command, const std::string &subject);
+    void respondToCommand(const HttpExchangePtr &exchange, RoutingResult result, const std::string &subject);
+    void redirectToLeader(const HttpExchangePtr &exchange, const std::string &leader);
     std::string operatorsAddressOf(const std::string &peer);
     std::vector<std::string> entryHostsFor(const std::string &zone);
     std::vector<std::string> liveEntryHosts(const std::string &region) const;
-    void followCallers(TimePoint now);
-    void followQuotas(TimePoint now);
+    void updateCallerShares(TimePoint now);
+    void updateQuotas(TimePoint now);
     void publishRouting();
     RoutingView viewOf(const RoutingState &routing) const;
 
-    /// A held ask of another host.
+    /// A request of another host whose reply is held.
     struct Watcher {
         IncomingCallPtr call;
-        FleetWatchCall ask;
+        FleetWatchCall request;
         TimePoint until{};
-        bool beginsHere = false; ///< the host has nothing, and acts upon nothing until it has the reply
+        bool isInitial = false; ///< the host has no state, and acts on none until it has the reply
     };
 
-    /// A change of the routing that is acknowledged once it is in force at all entry hosts in touch.
+    /// A routing change that is acknowledged once it is in force on all live entry hosts.
     struct Change {
         HttpExchangePtr exchange;
         std::string subject;
-        bool isAgain = false; ///< it was taken before
+        bool isRepeated = false; ///< it had been committed before
         std::uint64_t index = 0;
         TimePoint since{};
         TimePoint until{};
     };
 
-    /// A target's departure that is acknowledged once a majority of the control hosts and all entry hosts in touch know
-    /// of it.
+    /// A target's departure that is acknowledged once a majority of the control hosts and all live entry hosts know it.
     struct Departure {
         HttpExchangePtr exchange;
         std::string target;
@@ -142,17 +144,18 @@
         TimePoint until{};
     };
 
-    /// Newest confirmation of a control host that was taken.
-    struct TakenConfirmation {
-        std::string host; ///< id of its life
+    /// Newest confirmation received from a control host.
+    struct LastConfirmation {
+        std::string host; ///< incarnation id of the control host
         std::uint64_t sequence = 0;
     };
 
-    /// What another control host may wait for, until this host and its followers have come to it.
-    struct OwedConfirmation {
+    /// A confirmation that another control host may wait for. It is sent once this host and its followers have the
+    /// version.
+    struct PendingConfirmation {
         Address to;
         NewsPosition position;
-        TimePoint until{}; ///< nobody waits for it any more
+        TimePoint until{}; ///< nobody waits for it after this
     };
 
     FleetSettings m_settings;
@@ -163,18 +166,18 @@
     std::string m_epoch;
     std::string m_incarnation;
 
-    mutable std::mutex m_mutex; ///< guards what follows, down to m_peers
+    mutable std::mutex m_mutex; ///< guards the members below, down to m_peers
     Registry m_registry;
     RoutingState m_routing;
-    RoutingHistory m_history; ///< of m_routing, as entry hosts are told of it
+    RoutingHistory m_history; ///< of m_routing, as sent to entry hosts
     Quarantine m_quarantine;
     BackpressureTable m_backpressure;
     QuotaSums m_quotas;
     TimePoint m_nextQuotas{};
     NewsConfirmations m_confirmations;
-    std::map<std::string, TakenConfirmation> m_takenConfirmations; ///< by peer address of the confirming host
-    std::vector<OwedConfirmation> m_owed;
-    std::map<Address, std::string> m_epochs; ///< of other control hosts, as of their last reply
+    std::map<std::string, LastConfirmation> m_lastConfirmations; ///< by peer address of the confirming host
+    std::vector<PendingConfirmation> m_pendingConfirmations;
+    std::map<Address, std::string> m_epochs; ///< of other control hosts, from their last reply
     CallerShares m_shares;
     TimePoint m_nextShares{};
     bool m_hasHomes = true; ///< some route or tenant of the table has home regions, or there is no table yet
@@ -183,21 +186,21 @@
     std::vector<Watcher> m_watchers;
     std::vector<Departure> m_departures;
     std::vector<Change> m_changes;
-    std::map<std::string, std::uint64_t> m_seenBy; ///< registry version that each control host has, by peer address
+    std::map<std::string, std::uint64_t> m_peerVersions; ///< registry versions of control hosts, by peer address
     TimePoint m_startedAt{};
     TimePoint m_currentSince{};
     bool m_wasCurrent = false;
-    TimePoint m_notCurrentSince{}; ///< while it is not; at first since the start
+    TimePoint m_notCurrentSince{}; ///< since when there is no majority; at first the start
     TimePoint m_nextSelfReport{};
     TimePoint m_nextJoin{};
-    std::optional<CachedState> m_remembered; ///< from before the restart, for a while
-    RoutingHistory m_rememberedHistory;
-    TimePoint m_nextRemember{};
-    std::uint64_t m_rememberedVersion = 0; ///< of the registry, when the file was written last
-    std::uint64_t m_rememberedIndex = 0; ///< of the routing, likewise
-    std::uint64_t m_rememberedSuspects = 0; ///< version of the quarantine, likewise
-    std::uint64_t m_rememberedLoads = 0; ///< version of the sums of tenants' requests, likewise
-    bool m_remembersLimits = false; ///< some limit bound then
+    std::optional<CachedState> m_cached; ///< from before the restart, for a limited time
+    RoutingHistory m_cachedHistory;
+    TimePoint m_nextCacheWrite{};
+    std::uint64_t m_cachedRegistryVersion = 0; ///< as of the last write
+    std::uint64_t m_cachedRoutingIndex = 0; ///< as of the last write
+    std::uint64_t m_cachedSuspectsVersion = 0; ///< version of the quarantine, as of the last write
+    std::uint64_t m_cachedLoadsVersion = 0; ///< version of m_quotas, as of the last write
+    bool m_hasCachedLimits = false; ///< whether some limit was in effect at the last write
     std::map<Address, std::unique_ptr<ControlWatch>> m_peers;
 
     PeerNet m_net;
@@ -205,7 +208,7 @@
     std::unique_ptr<HttpServer> m_operatorsServer;
     std::unique_ptr<HttpServer> m_directoryServer;
     std::unique_ptr<HttpServer> m_metricsServer;
-    std::unique_ptr<TaskThread> m_writer; ///< a slow disk must not hold up the ticker
+    std::unique_ptr<TaskThread> m_writer; ///< a slow disk must not block the ticker
     std::unique_ptr<Ticker> m_ticker;
 };
 
--- a/lib/Fleet/RegistryPeers.cpp
+++ b/lib/Fleet/RegistryPeers.cpp
@@ -1,4 +1,4 @@
-//===- RegistryPeers.cpp - What other hosts ask of a control host ---------===//
+//===- RegistryPeers.cpp - Requests of other hosts to a control host ------===//
 #include "../Daemon/HttpStatus.h"
 #include "RegistryImpl.h"
 
@@ -11,13 +11,13 @@
 namespace
 {
 
-/// Changes of the routing that are no longer than this come with the reply. On a link of 4 Mbit/s, the narrowest that
-/// was met, departures of targets wait 16 ms behind them, less than for the next tick of their host.
-constexpr std::size_t ShortChanges = 8 * 1024;
+/// Largest routing changes that are sent with a reply, in bytes. On a link of 4 Mbit/s, the narrowest known, departures
+/// of targets wait 16 ms behind them, less than for the next tick of their host.
+constexpr std::size_t MaxInlineChanges = 8 * 1024;
 
-NewsReader readerOf(const FleetWatchCall &ask)
+NewsReader readerOf(const FleetWatchCall &request)
 {
-    return ask.self.role == HostRole::Entry ? NewsReader::EntryHost : NewsReader::ControlHost;
+    return request.self.role == HostRole::Entry ? NewsReader::EntryHost : NewsReader::ControlHost;
 }
 
 } // namespace
@@ -31,7 +31,7 @@
                                                              {path::FleetConfirm, &Impl::onConfirm},
                                                              {path::FleetRouting, &Impl::onRouting},
                                                              {path::FleetControlHosts, &Impl::onControlHosts},
-                                                             {path::FleetProbe, &Impl::onTrial},
+                                                             {path::FleetProbe, &Impl::onProbe},
                                                              {path::FleetJoin, &Impl::onJoin}};
         const auto it = Handlers.find(call->path());
         if (it != Handlers.end()) {
@@ -72,41 +72,42 @@
     call->reply(Ok, encode(reply));
 }
 
-RegistryDaemon::Impl::HeardAsk RegistryDaemon::Impl::hear(const IncomingCallPtr &call, TimePoint now)
+RegistryDaemon::Impl::ReceivedCall RegistryDaemon::Impl::receiveCall(const IncomingCallPtr &call, TimePoint now)
 {
-    HeardAsk heard{decode<FleetWatchCall>(call->body(), call->peer())};
-    FleetWatchCall &ask = heard.ask;
-    const bool isSameEpoch = ask.epoch == m_epoch;
+    ReceivedCall received{decode<FleetWatchCall>(call->body(), call->peer())};
+    FleetWatchCall &request = received.request;
+    const bool isSameEpoch = request.epoch == m_epoch;
     if (!isSameEpoch) {
-        ask.since = 0;
-        ask.loadsSince = 0;
+        request.since = 0;
+        request.loadsSince = 0;
     }
-    hearSuspects(takeReports(ask.suspects, isSameEpoch, ask.epoch.empty()), true, now);
-    hearBackpressure(takeReports(ask.backpressure, isSameEpoch, ask.epoch.empty()), true, now);
-    const bool isLate = !m_registry.receive(ask.self, now);
-    heard.isNewest = isNewestOf(ask.self.peer, ask.self.id, ask.self.sequence);
-    const bool isLivingEntry = ask.self.role == HostRole::Entry && ask.self.presence != Presence::Gone;
-    if (isLivingEntry && heard.isNewest && isLate) {
-        // A later ask went to another control host, which speaks for the asker. This one was held up, mostly by a cut;
-        // to wait for what it says would hold up acknowledgements for a lease after each such ask.
+    mergeSuspects(takeReports(request.suspects, isSameEpoch, request.epoch.empty()), true, now);
+    mergeBackpressure(takeReports(request.backpressure, isSameEpoch, request.epoch.empty()), true, now);
+    const bool isOutdated = !m_registry.receive(request.self, now);
+    received.isNewest = acceptSequence(request.self.peer, request.self.id, request.self.sequence);
+    const bool isLiveEntry = request.self.role == HostRole::Entry && request.self.presence != Presence::Gone;
+    if (isLiveEntry && received.isNewest && isOutdated) {
+        // A later request went to another control host, which reports the sender's state. This one was delayed, mostly
+        // by a network partition. To wait for confirmations of its state would delay acknowledgements by a lease after
+        // each such request.
         m_metrics.count("pepperlug_asks_overtaken");
-        heard.isNewest = false;
-        return heard;
+        received.isNewest = false;
+        return received;
     }
-    const bool isSignOnly = call->path() == path::FleetAlive && hasNothing(ask);
-    if (heard.isNewest && !isSignOnly) {
-        noteConfirmations(ask, isSameEpoch, now);
-    } else if (isLivingEntry) {
-        // An ask that comes after a later one, over a connection that was slow, says nothing of what the host has now;
-        // nor does a sign of life of one that waits for its first reply.
-        m_confirmations.followerLives(ask.self.id, now);
+    const bool isInitialHeartbeat = call->path() == path::FleetAlive && isUninitialized(request);
+    if (received.isNewest && !isInitialHeartbeat) {
+        recordConfirmations(request, isSameEpoch, now);
+    } else if (isLiveEntry) {
+        // A request that was overtaken on a slow connection says nothing about the host's current state, nor does a
+        // heartbeat of a host that waits for its first reply. Both show only that the host is alive.
+        m_confirmations.followerLives(request.self.id, now);
     }
-    return heard;
+    return received;
 }
 
 // The mutex is held.
-void RegistryDaemon::Impl::hearBackpressure(const std::vector<BackpressureReport> &reports, bool isDirect,
-                                            TimePoint now)
+void RegistryDaemon::Impl::mergeBackpressure(const std::vector<BackpressureReport> &reports, bool isDirect,
+                                             TimePoint now)
 {
     for (const BackpressureReport &it : reports) {
         if (!m_backpressure.merge(it, isDirect, now)) {
@@ -125,12 +126,12 @@
 {
     const TimePoint now = m_clock.now();
     const std::lock_guard lock(m_mutex);
-    HeardAsk heard = hear(call, now);
-    const TimePoint until = now + heard.ask.maxWait;
-    const bool beginsHere = heard.isNewest && hasNothing(heard.ask);
-    m_watchers.push_back({call, std::move(heard.ask), until, beginsHere});
-    replyWatchers(now);
-    settle(now);
+    ReceivedCall received = receiveCall(call, now);
+    const TimePoint until = now + received.request.maxWait;
+    const bool isInitial = received.isNewest && isUninitialized(received.request);
+    m_watchers.push_back({call, std::move(received.request), until, isInitial});
+    replyToWatchers(now);
+    resolvePending(now);
 }
 
 void RegistryDaemon::Impl::onAlive(const IncomingCallPtr &call)
@@ -138,40 +139,40 @@
     {
         const TimePoint now = m_clock.now();
         const std::lock_guard lock(m_mutex);
-        hear(call, now);
-        settle(now);
+        receiveCall(call, now);
+        resolvePending(now);
     }
     call->reply(Ok, "");
 }
 
-// A host that knows nothing may have what is remembered from before a restart.
-const RoutingHistory &RegistryDaemon::Impl::historyFor(bool knowsNothing) const
+// A host without state may get the cached state from before a restart.
+const RoutingHistory &RegistryDaemon::Impl::historyFor(bool hasNoState) const
 {
-    const bool isRemembered = knowsNothing && m_remembered && m_rememberedHistory.index() > m_history.index();
-    return isRemembered ? m_rememberedHistory : m_history;
+    const bool usesCache = hasNoState && m_cached && m_cachedHistory.index() > m_history.index();
+    return usesCache ? m_cachedHistory : m_history;
 }
 
 void RegistryDaemon::Impl::onRouting(const IncomingCallPtr &call)
 {
-    const auto ask = decode<FleetRoutingCall>(call->body(), call->peer());
+    const auto request = decode<FleetRoutingCall>(call->body(), call->peer());
     FleetRoutingReply reply;
     {
         const std::lock_guard lock(m_mutex);
-        reply.changes = historyFor(ask.index == 0).since(ask.index);
+        reply.changes = historyFor(request.index == 0).since(request.index);
     }
     std::string body = encode(reply);
     m_metrics.count("pepperlug_news_bytes{to=\"entry\"}", body.size());
     call->reply(Ok, std::move(body));
 }
 
-bool RegistryDaemon::Impl::hasNews(const FleetWatchCall &call) const
+bool RegistryDaemon::Impl::hasUpdates(const FleetWatchCall &call) const
 {
     return call.since == 0 || m_registry.changedVersion() > call.since || m_history.index() > call.newestRoutingIndex
         || m_quarantine.hasChangedSince(call.suspects.since, readerOf(call))
-        || m_backpressure.hasChangedSince(call.backpressure.since, readerOf(call)) || hasLoadsFor(call);
+        || m_backpressure.hasChangedSince(call.backpressure.since, readerOf(call)) || hasLoadUpdates(call);
 }
 
-bool RegistryDaemon::Impl::hasLoadsFor(const FleetWatchCall &call) const
+bool RegistryDaemon::Impl::hasLoadUpdates(const FleetWatchCall &call) const
 {
     return call.self.role == HostRole::Entry && m_quotas.version() != call.loadsSince;
 }
@@ -192,39 +193,39 @@
     }
     reply.demand = m_registry.demand(m_settings.regionOfZone);
     reply.loadsVersion = m_quotas.version();
-    if (hasLoadsFor(call)) {
+    if (hasLoadUpdates(call)) {
         reply.loads = m_quotas.loads();
     }
-    const bool knowsNothing = call.routingIndex == 0 && call.since == 0;
-    if (knowsNothing && m_remembered) {
-        reply.cachedTargets = unreportedTargets(m_remembered->targets, m_registry);
+    const bool hasNoState = call.routingIndex == 0 && call.since == 0;
+    if (hasNoState && m_cached) {
+        reply.cachedTargets = unreportedTargets(m_cached->targets, m_registry);
     }
-    const RoutingHistory &history = historyFor(knowsNothing);
+    const RoutingHistory &history = historyFor(hasNoState);
     reply.routingIndex = history.index();
     std::vector<std::string> changes = history.since(call.routingIndex);
     const auto addSize = [](std::size_t sum, const std::string &it) {
         return sum + it.size();
     };
-    if (std::accumulate(changes.begin(), changes.end(), std::size_t{0}, addSize) <= ShortChanges) {
+    if (std::accumulate(changes.begin(), changes.end(), std::size_t{0}, addSize) <= MaxInlineChanges) {
         reply.routingChanges = std::move(changes);
     }
     return reply;
 }
 
-void RegistryDaemon::Impl::replyWatchers(TimePoint now)
+void RegistryDaemon::Impl::replyToWatchers(TimePoint now)
 {
     const bool isCurrent = m_log && m_log->status().isCurrent(now) && !m_isLeaving;
     std::erase_if(m_watchers, [&](const Watcher &watcher) {
-        // A host that follows one without a majority should look for another at once.
-        const bool isEntry = watcher.ask.self.role == HostRole::Entry;
-        if (now < watcher.until && !hasNews(watcher.ask) && (isCurrent || !isEntry)) {
+        // A host that follows one without a majority should switch to another at once.
+        const bool isEntry = watcher.request.self.role == HostRole::Entry;
+        if (now < watcher.until && !hasUpdates(watcher.request) && (isCurrent || !isEntry)) {
             return false;
         }
-        const FleetWatchReply news = makeReply(watcher.ask, now);
-        if (watcher.beginsHere) {
-            m_confirmations.followerIsTold(watcher.ask.self.id, {news.version, news.routingIndex});
+        const FleetWatchReply message = makeReply(watcher.request, now);
+        if (watcher.isInitial) {
+            m_confirmations.followerIsTold(watcher.request.self.id, {message.version, message.routingIndex});
         }
-        std::string reply = encode(news);
+        std::string reply = encode(message);
         m_metrics.count(isEntry ? "pepperlug_news_bytes{to=\"entry\"}" : "pepperlug_news_bytes{to=\"control\"}",
                         reply.size());
         watcher.call->reply(Ok, std::move(reply));
@@ -232,32 +233,32 @@
     });
 }
 
-bool RegistryDaemon::Impl::onPeerNews(const ReplyInfo &receipt, const FleetWatchReply &reply)
+bool RegistryDaemon::Impl::onPeerReply(const ReplyInfo &info, const FleetWatchReply &reply)
 {
     const TimePoint now = m_clock.now();
-    bool isAllKnown = false;
+    bool isFullyMerged = false;
     {
         const std::lock_guard lock(m_mutex);
-        isAllKnown = m_registry.merge(reply.changes, now);
-        if (isAllKnown) {
-            // Followers are told of changes alone, so what they have to come to is the newest of these.
-            m_confirmations.merged(receipt.from.text(), reply.epoch, reply.version, m_registry.changedVersion());
+        isFullyMerged = m_registry.merge(reply.changes, now);
+        if (isFullyMerged) {
+            // Followers receive only changes, so they have to confirm the newest of these.
+            m_confirmations.merged(info.from.text(), reply.epoch, reply.version, m_registry.changedVersion());
         }
-        hearSuspects(reply.suspects.reports, false, now);
-        hearBackpressure(reply.backpressure.reports, false, now);
-        m_epochs[receipt.from] = reply.epoch;
+        mergeSuspects(reply.suspects.reports, false, now);
+        mergeBackpressure(reply.backpressure.reports, false, now);
+        m_epochs[info.from] = reply.epoch;
         const bool hasDepartures =
             std::any_of(reply.changes.targets.begin(), reply.changes.targets.end(),
                         [](const AgedReport<TargetReport> &it) { return it.report.presence != Presence::Ready; });
         if (hasDepartures) {
-            oweConfirmation(receipt.from, {reply.version, 0});
+            queueConfirmation(info.from, {reply.version, 0});
         }
-        replyWatchers(now);
+        replyToWatchers(now);
     }
-    if (!isAllKnown) {
-        m_events.state("reports-unknown", {{"peer", receipt.from.text()}, {"renewals", reply.changes.renewals.size()}});
+    if (!isFullyMerged) {
+        m_events.state("reports-unknown", {{"peer", info.from.text()}, {"renewals", reply.changes.renewals.size()}});
     }
-    return isAllKnown;
+    return isFullyMerged;
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Fleet/RegistryRequests.cpp
+++ b/lib/Fleet/RegistryRequests.cpp
@@ -1,4 +1,4 @@
-//===- RegistryRequests.cpp - Targets, operators and callers at control ---===//
+//===- RegistryRequests.cpp - HTTP requests to a control host -------------===//
 #include "RegistryImpl.h"
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 namespace
 {
 
-/// Targets turn to another host after a second.
-constexpr Milliseconds DeparturePatience{900};
+/// Targets switch to another control host after one second.
+constexpr Milliseconds DepartureTimeout{900};
 constexpr Milliseconds DirectoryTimeToLive{1000};
 constexpr Milliseconds SharesInterval{250};
 constexpr Milliseconds QuotasInterval{100};
-/// Bytes of a text from outside that a line or an answer repeats.
-constexpr std::size_t LongestReason = 200;
+/// Most bytes of external text that a log line or an answer repeats.
+constexpr std::size_t MaxReasonBytes = 200;
 
 std::string subjectOf(const RoutingCommand &command)
 {
@@ -38,18 +38,18 @@
     refuseCall(exchange, kind, request.reason);
 }
 
-// What can't be read changes nothing. The texts come from whoever wrote the call, so their length is bounded.
+// A request that can't be parsed changes nothing. The reason may quote the sender's text, so its length is limited.
 void RegistryDaemon::Impl::refuseCall(const HttpExchangePtr &exchange, ControlAnswer kind, const std::string &reason)
 {
-    const std::string told = printable(reason, LongestReason);
+    const std::string printableReason = printable(reason, MaxReasonBytes);
     m_metrics.count("pepperlug_calls_refused");
     m_events.decision("call-refused",
-                      {{"path", printable(exchange->request().path(), LongestReason)}, {"reason", told}});
-    exchange->respond(m_dialect.controlAnswer(kind, told));
+                      {{"path", printable(exchange->request().path(), MaxReasonBytes)}, {"reason", printableReason}});
+    exchange->respond(m_dialect.controlAnswer(kind, printableReason));
 }
 
-// A service that the newest table does not name may be that of another writer, whose address must not take the place of
-// a target that is used. Before there is a table, and of targets that are known, each report counts: departures must.
+// A service that the newest table doesn't name may be another writer's, whose address must not replace a target in use.
+// Without a table, and for known targets, each report is accepted: departures must not be lost.
 bool RegistryDaemon::Impl::isOfUnknownService(const TargetReport &report) const
 {
     const std::shared_ptr<const RouteTable> &table = m_history.view().table;
@@ -92,10 +92,10 @@
                             {"sequence", report.sequence},
                             {"started_at_ms", entry->report.startedAt.count()}});
         }
-        replyWatchers(now);
+        replyToWatchers(now);
         if (isDeparture) {
-            m_departures.push_back({exchange, report.id, entry->changedVersion, now, now + DeparturePatience});
-            settleDepartures(now);
+            m_departures.push_back({exchange, report.id, entry->changedVersion, now, now + DepartureTimeout});
+            resolveDepartures(now);
         }
     }
     if (!isDeparture) {
@@ -122,7 +122,7 @@
     command.baseVersion = request.baseVersion;
     command.version = table.version;
     command.text = request.text;
-    decide(exchange, command, subjectOf(command));
+    proposeCommand(exchange, command, subjectOf(command));
 }
 
 void RegistryDaemon::Impl::answer(const HttpExchangePtr &exchange, const SetEvacuation &request)
@@ -134,15 +134,15 @@
         exchange->respond(m_dialect.controlAnswer(ControlAnswer::Unknown, "unknown zone " + request.zone));
         return;
     }
-    decide(exchange, command, subjectOf(command));
+    proposeCommand(exchange, command, subjectOf(command));
 }
 
-void RegistryDaemon::Impl::decide(const HttpExchangePtr &exchange, const RoutingCommand &command,
-                                  const std::string &subject)
+void RegistryDaemon::Impl::proposeCommand(const HttpExchangePtr &exchange, const RoutingCommand &command,
+                                          const std::string &subject)
 {
     const ControlLogStatus status = m_log->status();
     if (status.role != ControlRole::Leader) {
-        sendElsewhere(exchange, status.leader);
+        redirectToLeader(exchange, status.leader);
         return;
     }
     if (status.canRead(m_clock.now())) {
@@ -152,23 +152,23 @@
             result = m_routing.check(command);
         }
         if (result != RoutingResult::Done) {
-            respondDecided(exchange, result, subject);
+            respondToCommand(exchange, result, subject);
             return;
         }
     }
-    m_log->propose(encode(command), [this, exchange, subject](const ProposalResult &fate) {
-        if (!fate.isApplied) {
-            // It may be agreed on yet. The same change again, to whoever leads, is safe.
-            m_events.decision("change-undecided", {{"change", subject}, {"leader", fate.leader}});
+    m_log->propose(encode(command), [this, exchange, subject](const ProposalResult &result) {
+        if (!result.isApplied) {
+            // The change may still be committed. Sending the same change again, to any leader, is safe.
+            m_events.decision("change-undecided", {{"change", subject}, {"leader", result.leader}});
             exchange->respond(m_dialect.controlAnswer(ControlAnswer::Unavailable, "not decided; send it again"));
             return;
         }
-        respondDecided(exchange, static_cast<RoutingResult>(std::stoi(fate.result)), subject);
+        respondToCommand(exchange, static_cast<RoutingResult>(std::stoi(result.result)), subject);
     });
 }
 
-void RegistryDaemon::Impl::respondDecided(const HttpExchangePtr &exchange, RoutingResult result,
-                                          const std::string &subject)
+void RegistryDaemon::Impl::respondToCommand(const HttpExchangePtr &exchange, RoutingResult result,
+                                            const std::string &subject)
 {
     switch (result) {
     case RoutingResult::Done:
@@ -186,7 +186,7 @@
     }
 }
 
-void RegistryDaemon::Impl::sendElsewhere(const HttpExchangePtr &exchange, const std::string &leader)
+void RegistryDaemon::Impl::redirectToLeader(const HttpExchangePtr &exchange, const std::string &leader)
 {
     const std::string address = operatorsAddressOf(leader);
     if (address.empty()) {
@@ -207,7 +207,7 @@
 {
     const ControlLogStatus status = m_log->status();
     if (status.role != ControlRole::Leader) {
-        sendElsewhere(exchange, status.leader);
+        redirectToLeader(exchange, status.leader);
         return;
     }
     if (!status.canRead(m_clock.now())) {
@@ -226,7 +226,7 @@
     exchange->respond(m_dialect.tableAnswer(text));
 }
 
-void RegistryDaemon::Impl::followCallers(TimePoint now)
+void RegistryDaemon::Impl::updateCallerShares(TimePoint now)
 {
     if (now < m_nextShares) {
         return;
@@ -241,8 +241,8 @@
     m_shares.follow(regions, now);
 }
 
-// A host that has just started has heard of a part of the entry hosts only, and would let too much pass.
-void RegistryDaemon::Impl::followQuotas(TimePoint now)
+// A host that has just started knows only some of the entry hosts, and would set the limits too high.
+void RegistryDaemon::Impl::updateQuotas(TimePoint now)
 {
     const std::shared_ptr<const RouteTable> &table = m_history.view().table;
     if (now < m_nextQuotas || !table || table->tenants.empty() || !knowsFollowers(now)) {
@@ -263,28 +263,29 @@
     return addresses;
 }
 
-// Callers of a region share all its entry hosts: zones have not alike many, and crowds come to one zone at a time.
+// Callers of a region share all its entry hosts: zones differ in their number of entry hosts, and bursts hit one zone
+// at a time.
 std::vector<std::string> RegistryDaemon::Impl::entryHostsFor(const std::string &zone)
 {
     const auto it = m_settings.regionOfZone.find(zone);
     const std::string region = it == m_settings.regionOfZone.end() ? std::string() : it->second;
     std::vector<std::string> hosts = liveEntryHosts(region);
     if (hosts.empty()) {
-        // Just started, this host may have heard of a part of the entry hosts only, and callers would leave their
-        // region, with requests that have their home there, until they ask again.
+        // A host that has just started may know only some of the entry hosts. Callers would leave their region until
+        // they look up again, with requests whose home region it is.
         return knowsFollowers(m_clock.now()) ? liveEntryHosts({}) : std::vector<std::string>{};
     }
-    const GuestShare guests = m_shares.guestsOf(region);
-    // Callers of routes with home regions may not be sent elsewhere.
-    if (guests.part <= 0 || m_hasHomes) {
+    const GuestShare redirected = m_shares.guestsOf(region);
+    // Callers of routes with home regions must not be redirected.
+    if (redirected.part <= 0 || m_hasHomes) {
         return hosts;
     }
-    const double wanted = static_cast<double>(hosts.size()) * guests.part / (1 - guests.part);
-    std::vector<std::string> others = liveEntryHosts(guests.region);
-    // In an order that differs from zone to zone, so that the guests of several zones do not meet at the same few
+    const double redirectedHosts = static_cast<double>(hosts.size()) * redirected.part / (1 - redirected.part);
+    std::vector<std::string> others = liveEntryHosts(redirected.region);
+    // The order differs from zone to zone, so that redirected callers of several zones don't meet at the same few
     // hosts.
     std::ranges::sort(others, {}, [seed = hash64(zone)](const std::string &it) { return hash64(it, seed); });
-    others.resize(std::min(others.size(), static_cast<std::size_t>(std::lround(wanted))));
+    others.resize(std::min(others.size(), static_cast<std::size_t>(std::lround(redirectedHosts))));
     hosts.insert(hosts.end(), others.begin(), others.end());
     return hosts;
 }
--- a/lib/Fleet/RegistrySuspects.cpp
+++ b/lib/Fleet/RegistrySuspects.cpp
@@ -1,7 +1,7 @@
-//===- RegistrySuspects.cpp - Requests that end targets, at a control host -===//
+//===- RegistrySuspects.cpp - Suspect requests at a control host ----------===//
 //
-// A control host passes on what entry hosts noticed, and what it remembers from before its restart. Which trials there
-// are is decided by the leading one alone, while it is sure that no other one leads.
+// A control host passes on the suspects that entry hosts noticed, and those restored from its cache file. Only the
+// leader grants probes, and only while it is certain that no other host leads.
 //
 //===----------------------------------------------------------------------===//
 #include "PeerReplies.h"
@@ -13,13 +13,13 @@
 namespace
 {
 
-/// To the leading control host and back; half of what an entry host waits for all of it.
+/// To the leader and back; half of an entry host's timeout for the whole probe request.
 constexpr Milliseconds ForwardTimeout{200};
 
 } // namespace
 
 // The mutex is held.
-void RegistryDaemon::Impl::hearSuspects(const std::vector<SuspectReport> &suspects, bool isDirect, TimePoint now)
+void RegistryDaemon::Impl::mergeSuspects(const std::vector<SuspectReport> &suspects, bool isDirect, TimePoint now)
 {
     for (const SuspectReport &it : suspects) {
         if (!m_quarantine.merge(it, isDirect, now)) {
@@ -30,29 +30,29 @@
     }
 }
 
-void RegistryDaemon::Impl::onTrial(const IncomingCallPtr &call)
+void RegistryDaemon::Impl::onProbe(const IncomingCallPtr &call)
 {
-    auto ask = decode<FleetProbeCall>(call->body(), call->peer());
+    auto request = decode<FleetProbeCall>(call->body(), call->peer());
     const ControlLogStatus status = m_log->status();
     const TimePoint now = m_clock.now();
     if (status.role == ControlRole::Leader) {
         FleetProbeReply reply;
         {
             const std::lock_guard lock(m_mutex);
-            reply.isGranted = status.canRead(now) && m_quarantine.grantTrial(ask.digest, now);
-            replyWatchers(now);
+            reply.isGranted = status.canRead(now) && m_quarantine.grantTrial(request.digest, now);
+            replyToWatchers(now);
         }
-        m_events.state("trial", {{"digest", ask.digest}, {"granted", reply.isGranted}});
+        m_events.state("trial", {{"digest", request.digest}, {"granted", reply.isGranted}});
         call->reply(Ok, encode(reply));
         return;
     }
     const std::optional<Address> leader = Address::parse(status.leader);
-    if (ask.isForwarded || !leader) {
+    if (request.isForwarded || !leader) {
         call->reply(Ok, encode(FleetProbeReply{}));
         return;
     }
-    ask.isForwarded = true;
-    m_net.call(*leader, path::FleetProbe, encode(ask), ForwardTimeout, [call](const PeerReply &reply) {
+    request.isForwarded = true;
+    m_net.call(*leader, path::FleetProbe, encode(request), ForwardTimeout, [call](const PeerReply &reply) {
         const auto decided = readReply<FleetProbeReply>(reply, "leading control host");
         call->reply(Ok, encode(decided.message.value_or(FleetProbeReply{})));
     });
