--- a/unittests/Fleet/CachedStateTest.cpp
+++ b/unittests/Fleet/CachedStateTest.cpp
@@ -1,4 +1,4 @@
-//===- CachedStateTest.cpp - What a control host knew before a restart -----===//
+//===- CachedStateTest.cpp - Control host state from before a restart -----===//
 #include "Fleet/CachedState.h"
 
 #include <catch2/catch.hpp>
@@ -21,7 +21,7 @@
     return {id, "s", "10.0.0." + id + ":80", "z1", 4, presence, coldLeft, 1};
 }
 
-/// A file of its own, removed at the end.
+/// A file that is removed at the end of the test.
 class TemporaryFile
 {
 public:
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("targets that are ready and warm are remembered, and come back from the file")
+TEST_CASE("ready and warm targets are cached and restored from the file")
 {
     TemporaryFile file;
     CHECK_FALSE(readCachedState(file.path));
@@ -66,14 +66,14 @@
     CHECK(read->routing.index() == 0);
 }
 
-TEST_CASE("a file that can't be read is told with its path")
+TEST_CASE("an error about an unreadable file names its path")
 {
     TemporaryFile file;
     std::ofstream(file.path) << "no such thing";
     CHECK_THROWS_WITH(readCachedState(file.path), Catch::Contains(file.path));
 }
 
-TEST_CASE("the routing comes back from the file as it was agreed on")
+TEST_CASE("the committed routing is restored from the file")
 {
     TemporaryFile file;
     RoutingState routing;
@@ -89,12 +89,12 @@
     CHECK(read->routing.evacuatedZones() == std::set<std::string>{"z2"});
 }
 
-TEST_CASE("a remembered target is told only while nothing newer is known of it")
+TEST_CASE("a cached target is sent only while there is no newer report of it")
 {
-    const CachedState remembered = makeCachedState(RoutingState{}, someTargets());
+    const CachedState state = makeCachedState(RoutingState{}, someTargets());
     Registry now;
     now.receive(report("1", Presence::Draining), Start);
-    const std::vector<TargetReport> unheard = unreportedTargets(remembered.targets, now);
-    REQUIRE(unheard.size() == 1);
-    CHECK(unheard[0].id == "4");
+    const std::vector<TargetReport> unreported = unreportedTargets(state.targets, now);
+    REQUIRE(unreported.size() == 1);
+    CHECK(unreported[0].id == "4");
 }
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -5,7 +5,7 @@
 using namespace pepperlug::fleet;
 using namespace pepperlug::fleet::test;
 
-TEST_CASE("a request goes its whole way, and the entry host is found through the directory")
+TEST_CASE("a request is routed to a target, and the directory lists the entry host")
 {
     System system;
     FakeTarget target("i-1");
@@ -18,13 +18,13 @@
     const std::string directory = "/api/resolve?name=a.example&region=r1&zone=z1";
     CHECK(System::eventually([&] { return system.get(system.registry->directoryAddress(), directory).status == 200; }));
     CHECK(system.get(system.gateway->callersAddress(), "/other/x").status == 404);
-    const std::string figures = system.metrics().body;
-    CHECK(figures.find("pepperlug_requests 2") != std::string::npos);
-    CHECK(figures.find("pepperlug_attempt_outcomes{outcome=\"answered\"} 1") != std::string::npos);
-    CHECK(figures.find("pepperlug_refusals{reason=\"no-route\"} 1") != std::string::npos);
+    const std::string metricsText = system.metrics().body;
+    CHECK(metricsText.find("pepperlug_requests 2") != std::string::npos);
+    CHECK(metricsText.find("pepperlug_attempt_outcomes{outcome=\"answered\"} 1") != std::string::npos);
+    CHECK(metricsText.find("pepperlug_refusals{reason=\"no-route\"} 1") != std::string::npos);
 }
 
-TEST_CASE("a drain that was acknowledged stops new work")
+TEST_CASE("a target gets no new requests after its drain is acknowledged")
 {
     ServingSystem serving;
     System &system = serving.system;
@@ -36,12 +36,12 @@
     CHECK(target.runs() == runs);
 }
 
-TEST_CASE("after a restart of all hosts a target that has not reported itself again is used")
+TEST_CASE("after a restart of all hosts a cached target is used before it reports again")
 {
     ServingSystem serving;
     System &system = serving.system;
     REQUIRE(System::eventually([&] { return system.cachedTargetCount() == 1; }));
-    // What is remembered is told for a while after the start only, which a busy machine may let pass.
+    // Cached state is sent only for a limited time after the start, which may pass on a busy machine.
     CHECK(System::eventually([&] {
         system.restartAll();
         const auto end = std::chrono::steady_clock::now() + RememberedTime;
@@ -55,7 +55,7 @@
     }));
 }
 
-TEST_CASE("a control host starts although it remembers a routing that it can't read")
+TEST_CASE("a control host starts with an unreadable routing in its cache file")
 {
     ServingSystem serving;
     serving.system.endAll();
@@ -74,7 +74,8 @@
     }));
 }
 
-TEST_CASE("a configuration is linearizable: resends are acknowledged, races have one winner, bad ones are refused")
+TEST_CASE(
+    "configuration changes are linearizable: repeats are acknowledged, one of two races wins, bad ones are refused")
 {
     System system;
     system.putTable("r2", "0");
@@ -87,7 +88,7 @@
     CHECK(system.get(system.registry->operatorsAddress(), "/api/Config.Get").body == second);
 }
 
-TEST_CASE("an answer under another request's id reaches nobody")
+TEST_CASE("an answer with another request's id is not passed on")
 {
     ServingSystem serving;
     System &system = serving.system;
@@ -98,7 +99,7 @@
     CHECK(system.get(system.gateway->callersAddress(), "/p/x", "q2").status == 200);
 }
 
-TEST_CASE("a large answer comes whole, and one that its target breaks off never looks whole")
+TEST_CASE("a large answer arrives complete, and a truncated one is never taken for complete")
 {
     constexpr std::size_t Large = 300000;
     ServingSystem serving;
@@ -121,7 +122,7 @@
     CHECK(system.get(system.gateway->callersAddress(), "/p/x", "q3").body.size() == Large);
 }
 
-TEST_CASE("a planned stop finishes what was passed on, and passes nothing on just before its end")
+TEST_CASE("a graceful stop completes routed requests and routes none just before the exit")
 {
     ServingSystem serving;
     System &system = serving.system;
@@ -135,7 +136,7 @@
         [&] { return system.get(system.gateway->readinessAddress(), "/api/readyz").status == 503; }));
     target.release();
     CHECK(held.get().status == 200);
-    // Callers come until the very end: each is served, or told that nothing was run.
+    // Callers arrive until the exit. Each one is served, or refused without a run.
     int served = 0;
     while (stopped.wait_for(0s) != std::future_status::ready) {
         const int before = target.runs();
@@ -154,7 +155,7 @@
     CHECK(target.runs() == runs);
 }
 
-TEST_CASE("a target that ended serves again once it starts under its id")
+TEST_CASE("a target that left serves again after a start with the same id")
 {
     ServingSystem serving;
     const auto reportOf = [&](std::uint64_t startedAt, int sequence) {
@@ -168,12 +169,12 @@
     REQUIRE(System::eventually([&] { return serving.statusOf("/p/x") == 503; }));
     REQUIRE(reportOf(2000, 1).status == 200);
     REQUIRE(System::eventually([&] { return serving.statusOf("/p/x") == 200; }));
-    // A departure of the life before that was held up.
+    // A delayed departure of the earlier incarnation.
     CHECK(serving.system.operatorCall("/api/Instances.Leave/i-1", R"({"born":1000})").status == 200);
     CHECK(serving.statusOf("/p/x") == 200);
 }
 
-TEST_CASE("reports of another writer change nothing, and are told with a clear 4xx and a count")
+TEST_CASE("invalid reports of another writer change nothing and are answered with status 400")
 {
     ServingSystem serving;
     const nlohmann::json good = System::reportOf(serving.target, 1);
--- a/unittests/Fleet/RoutingLagTest.cpp
+++ b/unittests/Fleet/RoutingLagTest.cpp
@@ -1,4 +1,4 @@
-//===- RoutingLagTest.cpp - Since when a host's routing is behind ---------===//
+//===- RoutingLagTest.cpp - Routing that a host still lacks ---------------===//
 #include "Fleet/RoutingLag.h"
 
 #include <catch2/catch.hpp>
@@ -7,15 +7,15 @@
 using namespace pepperlug::fleet;
 using namespace std::chrono_literals;
 
-TEST_CASE("a host is behind since it heard of the oldest routing that it has not got")
+TEST_CASE("the lag starts when the oldest missing routing is advertised")
 {
     const TimePoint start{1000s};
     RoutingLag lag;
     CHECK_FALSE(lag.behindSince());
     lag.addAdvertised(5, start);
-    lag.addAdvertised(5, start + 1s); // told again
+    lag.addAdvertised(5, start + 1s); // advertised again
     lag.addAdvertised(7, start + 2s);
-    lag.addAdvertised(6, start + 3s); // by a host that knows less
+    lag.addAdvertised(6, start + 3s); // by a host with older routing
     CHECK(lag.newestIndex() == 7);
     CHECK(lag.behindSince() == start);
     lag.setApplied(5);
@@ -24,7 +24,7 @@
     CHECK_FALSE(lag.behindSince());
 }
 
-TEST_CASE("routing that arrives unheard of is no lag")
+TEST_CASE("routing that arrives before its advertisement is no lag")
 {
     const TimePoint start{1000s};
     RoutingLag lag;
--- a/unittests/Fleet/SettingsTest.cpp
+++ b/unittests/Fleet/SettingsTest.cpp
@@ -1,4 +1,4 @@
-//===- SettingsTest.cpp - Settings of hosts that find each other ----------===//
+//===- SettingsTest.cpp - Settings of entry and control hosts -------------===//
 #include "platform/Dialect.h"
 
 #include <catch2/catch.hpp>
@@ -43,7 +43,7 @@
     return parseFleetSettings(json.dump(), "file", role);
 }
 
-/// An address on a loopback network that no other process of the tests uses, so that no port can be taken.
+/// Returns an address on a loopback network that no other test process uses, so that no port is taken.
 Address addressOn(unsigned host, std::uint16_t port)
 {
     constexpr unsigned Octet = 250;
@@ -52,7 +52,7 @@
     return {"127." + network + "." + std::to_string(host), port};
 }
 
-/// A folder that goes with the object.
+/// A folder that is removed with the object.
 class Folder
 {
 public:
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("a host listens where others connect unless the settings say otherwise")
+TEST_CASE("a host listens at its peer address unless peer_listen is set")
 {
     const auto [json, role] =
         GENERATE(std::make_pair(controlJson(), FleetRole::Control), std::make_pair(entryJson(), FleetRole::Entry));
@@ -101,7 +101,7 @@
     CHECK(settings.peer == Address{"127.0.0.1", 1});
 }
 
-TEST_CASE("a place to listen that is no address is a finding")
+TEST_CASE("an invalid peer_listen is a finding")
 {
     for (const nlohmann::json &value : {nlohmann::json("here"), nlohmann::json(7), nlohmann::json("")}) {
         nlohmann::json json = controlJson();
@@ -110,7 +110,7 @@
     }
 }
 
-TEST_CASE("a control host takes calls where it is told to listen, and not where others connect")
+TEST_CASE("a control host listens at peer_listen and not at its peer address")
 {
     const Folder folder;
     const SteadyClock clock;
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -1,8 +1,8 @@
 //===- System.h - One control and one entry host over loopback --*- C++ -*-===//
 //
-// Real daemons with a stand-in for the platform's clients, targets and operator,
-// at the sockets. Everything that is waited for is an event: a request is repeated
-// until the answer is the one that must come.
+// Real daemons with fakes of the platform's clients, targets and operator at
+// their sockets. Tests wait for events, not for times: a request is repeated
+// until the expected answer arrives.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -24,11 +24,11 @@
 
 using namespace std::chrono_literals;
 
-/// Upper bound for what must come; no test is judged by its time.
+/// Upper bound of the wait for an event; no test depends on how long an event takes.
 constexpr auto EventTimeout = 30s;
 constexpr auto RetryInterval = 10ms;
 
-/// An address on a loopback network that no other process of the tests uses, so that no port can be taken.
+/// Returns an address on a loopback network that no other test process uses, so that no port is taken.
 inline Address addressOn(unsigned host, std::uint16_t port)
 {
     constexpr unsigned Octet = 250;
@@ -37,8 +37,8 @@
     return {"127." + network + "." + std::to_string(host), port};
 }
 
-/// Path prefixes that differ in 32 signs which do not compress, so that a table of them needs its whole length on a
-/// link.
+/// Returns path prefixes with 32 random digits each. These don't compress, so a table of them needs its full length on
+/// a link.
 inline std::vector<std::string> incompressiblePrefixes(std::size_t count)
 {
     constexpr std::size_t RandomBytes = 16;
@@ -55,7 +55,7 @@
     return result.get();
 }
 
-/// A target that counts what it ran, and answers as it is told to.
+/// A target that counts its runs and answers as configured.
 class FakeTarget
 {
 public:
@@ -82,28 +82,28 @@
         return m_runs;
     }
 
-    /// When requests came that named this target, whether it ran them or not.
+    /// Returns the arrival times of requests for this target, whether it ran them or not.
     std::vector<std::chrono::steady_clock::time_point> arrivals()
     {
         const std::lock_guard lock(m_mutex);
         return m_arrivals;
     }
 
-    /// Headers of all later answers, besides those that each answer bears.
+    /// Sets headers that are added to all later answers.
     void setAnswerHeaders(std::vector<HeaderField> headers)
     {
         const std::lock_guard lock(m_mutex);
         m_answerHeaders = std::move(headers);
     }
 
-    /// Of the request that it ran last.
+    /// Returns a header of the request that ran last.
     std::optional<std::string> lastHeader(const std::string &name)
     {
         const std::lock_guard lock(m_mutex);
         return m_last.header(name);
     }
 
-    /// Requests are kept unanswered until release().
+    /// Holds requests unanswered until release().
     void hold()
     {
         const std::lock_guard lock(m_mutex);
@@ -125,7 +125,7 @@
 
     std::atomic<bool> usesWrongRequestId{false};
     std::atomic<std::size_t> bodyBytes{0}; ///< length of answers; 0 for a short one
-    std::atomic<bool> truncatesAnswers{false}; ///< ends its connection in the middle of an answer
+    std::atomic<bool> truncatesAnswers{false}; ///< closes the connection in the middle of an answer
     std::atomic<bool> sheds{false}; ///< answers 503 and runs nothing
 
 private:
@@ -196,15 +196,15 @@
 /// How the entry host reaches the control host.
 enum class ControlLink : std::uint8_t {
     Direct,
-    Proxied, ///< through System::proxy, which can spoil it
+    Proxied, ///< through System::proxy, which injects faults
 };
 
-/// One control and one entry host in a folder of their own.
+/// One control and one entry host with a temporary folder.
 class System
 {
 public:
-    /// `acknowledgeTimeout`: in what time operators expect an answer. By default one that no test waits for, since a
-    /// machine that is busy may hold a host up.
+    /// `acknowledgeTimeout`: within which operators expect an answer. The default is longer than any test waits, since
+    /// a busy machine may delay a host.
     explicit System(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * EventTimeout,
                     Duration acknowledgeTimeout = 2 * EventTimeout, Duration firstProbePause = FirstTrialPause)
         : m_folder(std::filesystem::temp_directory_path() / ("pepperlug-fleet-" + randomHex(8)))
@@ -255,7 +255,7 @@
         std::filesystem::remove_all(m_folder);
     }
 
-    /// Both hosts end without notice and start again; the disk remains.
+    /// Ends both hosts abruptly and starts them again; the data folder remains.
     void restartAll()
     {
         endAll();
@@ -274,7 +274,7 @@
         gateway = std::make_unique<GatewayDaemon>(m_entry, m_clock, callerDialect<platform::Clients>());
     }
 
-    /// A further entry host, at an address of its own.
+    /// Starts a further entry host at an address of its own.
     std::unique_ptr<GatewayDaemon> startEntryHost(unsigned number)
     {
         constexpr unsigned FirstFurther = 10;
@@ -285,30 +285,30 @@
         return std::make_unique<GatewayDaemon>(settings, m_clock, callerDialect<platform::Clients>());
     }
 
-    /// Replaces what the control host remembers; it must have ended.
-    void writeCache(const CachedState &remembered) const
+    /// Replaces the control host's cache file; the control host must have ended.
+    void writeCache(const CachedState &state) const
     {
-        writeCachedState(m_control.dataFolder + "/remembered", remembered);
+        writeCachedState(m_control.dataFolder + "/remembered", state);
     }
 
-    /// The control host must have ended.
+    /// Removes the suspects from the cache file; the control host must have ended.
     void clearCachedSuspects() const
     {
-        std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
-        remembered.value().suspects.clear();
-        writeCache(*remembered);
+        std::optional<CachedState> state = readCachedState(m_control.dataFolder + "/remembered");
+        state.value().suspects.clear();
+        writeCache(*state);
     }
 
     std::size_t cachedTargetCount() const
     {
-        const std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
-        return remembered ? remembered->targets.size() : 0;
+        const std::optional<CachedState> state = readCachedState(m_control.dataFolder + "/remembered");
+        return state ? state->targets.size() : 0;
     }
 
     std::size_t cachedSuspectCount() const
     {
-        const std::optional<CachedState> remembered = readCachedState(m_control.dataFolder + "/remembered");
-        return remembered ? remembered->suspects.size() : 0;
+        const std::optional<CachedState> state = readCachedState(m_control.dataFolder + "/remembered");
+        return state ? state->suspects.size() : 0;
     }
 
     Answer operatorCall(const std::string &path, const std::string &body, const std::string &base = {})
@@ -336,7 +336,7 @@
         return fetchOnce(m_client, call).answer;
     }
 
-    /// Repeats a step until it returns true.
+    /// Repeats a step until it returns true. Returns false at the timeout.
     static bool eventually(const std::function<bool()> &step)
     {
         for (const auto end = std::chrono::steady_clock::now() + EventTimeout;
@@ -362,7 +362,7 @@
                 {"prio", 1},    {"service", "s"},       {"attempts", 2}};
     }
 
-    /// A table with a route for each prefix.
+    /// Returns a table with a route for each prefix.
     static std::string tableText(const std::string &version, const std::vector<std::string> &prefixes)
     {
         nlohmann::json paths = nlohmann::json::array();
@@ -378,7 +378,7 @@
             .dump();
     }
 
-    /// What a target says of itself.
+    /// Returns the report of a target.
     static nlohmann::json reportOf(const FakeTarget &target, int sequence, const std::string &state = "ready")
     {
         return {{"service", "s"}, {"addr", target.address()}, {"zone", "z1"},   {"version", "v1"},
@@ -405,7 +405,7 @@
         return get(m_metrics, "/metrics");
     }
 
-    std::unique_ptr<soak::FaultProxy> proxy; ///< null unless the link is proxied
+    std::unique_ptr<soak::FaultProxy> proxy; ///< null if the link is direct
     std::unique_ptr<RegistryDaemon> registry;
     std::unique_ptr<GatewayDaemon> gateway;
 
@@ -418,7 +418,7 @@
     HttpClient m_client{1 << 20};
 };
 
-/// A system with a configuration and one target, once it serves.
+/// A system with a configuration and one target that serves requests.
 struct ServingSystem {
     explicit ServingSystem(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * EventTimeout,
                            Duration acknowledgeTimeout = 2 * EventTimeout)
@@ -434,7 +434,7 @@
         return system.get(system.gateway->callersAddress(), path).status;
     }
 
-    /// The target says that it leaves, until this is acknowledged.
+    /// Repeats the target's departure report until it is acknowledged.
     void drainUntilAcknowledged()
     {
         int sequence = 1;
--- a/unittests/Fleet/TenantsTest.cpp
+++ b/unittests/Fleet/TenantsTest.cpp
@@ -1,4 +1,4 @@
-//===- TenantsTest.cpp - Keys and tenants over loopback ------------------===//
+//===- TenantsTest.cpp - Keys and tenants over loopback -------------------===//
 #include "System.h"
 
 #include <fcntl.h>
@@ -28,7 +28,7 @@
     return table.dump();
 }
 
-/// Standard output goes to a file while the object lives.
+/// Redirects standard output to a file during the object's lifetime.
 class CapturedOutput
 {
 public:
@@ -71,7 +71,7 @@
     {
     }
 
-    unsigned ask(const std::string &path, const std::vector<HeaderField> &headers)
+    unsigned get(const std::string &path, const std::vector<HeaderField> &headers)
     {
         HttpCall call;
         call.to = m_system.gateway->callersAddress();
@@ -83,10 +83,10 @@
         return fetchOnce(m_client, call).answer.status;
     }
 
-    /// Asks until the answer has a status; a host says "come back" while it may lack news.
+    /// Repeats a request until the answer has the status; a host answers with a retry hint while it may lack updates.
     bool becomes(unsigned status, const std::string &path, const std::vector<HeaderField> &headers)
     {
-        return System::eventually([&] { return ask(path, headers) == status; });
+        return System::eventually([&] { return get(path, headers) == status; });
     }
 
 private:
@@ -96,12 +96,12 @@
 
 } // namespace
 
-TEST_CASE("callers are known by their keys, which no line, figure, error or answer repeats")
+TEST_CASE("callers are authenticated by keys, which no log line, metric, error or answer repeats")
 {
     const auto folder = std::filesystem::temp_directory_path() / ("pepperlug-keys-" + randomHex(8));
     std::filesystem::create_directories(folder);
     const auto lines = folder / "lines";
-    std::string figures;
+    std::string metricsText;
     std::string answers;
     {
         const CapturedOutput captured(lines);
@@ -131,7 +131,7 @@
         CHECK(caller.becomes(401, "/p/x", {{"Api-Key", ""}}));
         CHECK(caller.becomes(401, "/p/x", {{"Api-Key", std::string(9000, 'k')}}));
         CHECK(target.runs() == runs);
-        // A shared key, and a table that is cut short in the middle of a key.
+        // A key of two tenants, and a table that is truncated in the middle of a key.
         const nlohmann::json other{{"name", "t2"}, {"apiKeys", nlohmann::json::array({FirstKey})}};
         CHECK(put("r3", "r2", listOf({first, other})) == 400);
         const std::string whole = tableWith("r3", listOf({first}));
@@ -139,26 +139,26 @@
         const Answer cut = system.operatorCall("/api/Config.Put", half, "r2");
         answers += cut.body;
         CHECK(cut.status == 400);
-        // The key is given to another tenant, and the other one taken away.
+        // The key moves to another tenant, and the other key is removed.
         REQUIRE(System::eventually([&] {
             return put("r4", "r2", listOf({other, {{"name", "t1"}, {"apiKeys", nlohmann::json::array()}}})) == 200;
         }));
         CHECK(caller.becomes(200, "/p/x", {{"Api-Key", FirstKey}}));
         CHECK(target.lastHeader("X-Tenant") == "t2");
         CHECK(caller.becomes(401, "/p/x", {{"Api-Key", SecondKey}}));
-        figures = system.metrics().body;
+        metricsText = system.metrics().body;
         system.endAll();
     }
-    const std::string told = textOf(lines) + figures + answers;
-    CHECK(told.find("unknown-key") != std::string::npos);
+    const std::string output = textOf(lines) + metricsText + answers;
+    CHECK(output.find("unknown-key") != std::string::npos);
     for (const std::string_view secret : {"first-secret", "second-secret", "unknown-secret", "second-se"}) {
         CAPTURE(secret);
-        CHECK(told.find(secret) == std::string::npos);
+        CHECK(output.find(secret) == std::string::npos);
     }
     std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("a tenant over its limit is told so, as not run, and when to come back")
+TEST_CASE("a tenant over its limit is refused with status 429 and without a run")
 {
     System system;
     FakeTarget target("i-1");
@@ -169,7 +169,7 @@
     system.sendReport("i-1", target, 1);
     REQUIRE(system.becomesReady());
     Caller caller(system);
-    // Control hosts hear of what is asked, and tell which part of it may pass.
+    // Control hosts receive the tenant's demand and send back the share that may pass.
     CHECK(caller.becomes(429, "/p/x", {{"Api-Key", FirstKey}}));
     CHECK(System::eventually(
         [&] { return system.metrics().body.find("pepperlug_refusals{reason=\"over-quota\"}") != std::string::npos; }));
