--- a/unittests/LateNews/LateNewsTest.cpp
+++ b/unittests/LateNews/LateNewsTest.cpp
@@ -1,14 +1,11 @@
-//===- LateNewsTest.cpp - What is acknowledged holds at hosts that hear late ---===//
+//===- LateNewsTest.cpp - Acknowledged changes on slow links --------------===//
 //
-// Seen: on entry hosts with narrow links, requests ran by routes that had been replaced 3 s before, callers were told
-// 404 on routes that had been acknowledged, and targets got requests 2.5 s after their departure had been acknowledged.
-// All within 6 s of a change to a routing table of some thousand routes. How it came about: the whole table, some 0.8
-// MB, went to each entry host with each change; the link needs 1.4 s for it. After 1.2 s the entry host gave the reply
-// up and asked another control host, which began anew. The links were full of it, and what else was new, departures of
-// targets above all, was in the same reply behind the table. Cause: a change or a departure was acknowledged once the
-// control hosts knew it, whether or not those knew who could break the promise; and news grew with the size of what
-// they were about. Proved by: received bytes of all entry hosts (60 KB a second before, 430 to 650 in the 6 s after),
-// the control hosts' lines (all knew within 0.1 s, no leader changed) and the processor time of entry hosts (0 to 3 %).
+// Guards against acknowledgements that don't hold on entry hosts with narrow links. Changes and departures were
+// acknowledged once the control hosts knew them, whether or not the entry hosts did. Each change sent the whole routing
+// table of some 0.8 MB, which took 1.4 s on the link, but the entry host gave the reply up after 1.2 s and started
+// again at another control host; departures of targets queued behind the table in the same reply. For 6 s after a
+// change, requests ran by routes replaced 3 s before, callers got 404 for acknowledged routes, and targets got requests
+// 2.5 s after their acknowledged departure.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet/System.h"
@@ -20,12 +17,12 @@
 namespace
 {
 
-/// Routes of the table that is changed; its document has some 0.6 MB.
+/// Routes of the changed table, whose document has about 0.6 MB.
 constexpr int ManyRoutes = 4000;
-/// Of the narrow link, in bytes a second: the document needs longer than any host waits for a reply.
+/// Narrow link, in bytes a second: the document takes longer than any host waits for a reply.
 constexpr std::uint64_t NarrowRate = 200'000;
-/// Of a link that callers fill, in bytes a second.
-constexpr std::uint64_t TrickleRate = 20'000;
+/// Link that callers fill, in bytes a second.
+constexpr std::uint64_t SlowRate = 20'000;
 
 std::vector<std::string> manyPrefixes()
 {
@@ -36,7 +33,7 @@
     return prefixes;
 }
 
-/// A system that serves by a large table, with one target, over a link that can be spoiled.
+/// A system with a large table and one target, over a link with injected faults.
 struct LargeSystem : ServingSystem {
     LargeSystem()
         : ServingSystem(ControlLink::Proxied)
@@ -51,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("a change that is acknowledged is in force at a host on a narrow link")
+TEST_CASE("an acknowledged change is in force at a host on a narrow link")
 {
     LargeSystem large;
     large.system.proxy->narrow(NarrowRate);
@@ -60,7 +57,7 @@
     CHECK(large.statusOf("/new/x") == 200);
 }
 
-TEST_CASE("a target whose departure is acknowledged gets nothing new, though a table is on its way")
+TEST_CASE("a target gets no new requests after its departure is acknowledged while a table is being sent")
 {
     LargeSystem large;
     large.system.proxy->narrow(NarrowRate);
@@ -74,7 +71,7 @@
     change.get();
 }
 
-TEST_CASE("a departure is acknowledged once a host with a long way knows of it")
+TEST_CASE("a departure is acknowledged once a host on a slow link knows it")
 {
     ServingSystem serving(ControlLink::Proxied);
     serving.system.proxy->set(soak::LinkFault::Delay);
@@ -84,12 +81,12 @@
     CHECK(serving.target.runs() == runs);
 }
 
-TEST_CASE("a host whose news trickle in is waited for as long as it lives")
+TEST_CASE("acknowledgements wait for a live host that receives updates slowly")
 {
     ServingSystem serving(ControlLink::Proxied, NewsLease);
     System &system = serving.system;
-    system.proxy->narrow(TrickleRate);
-    // The change needs several times as long as a silent host is waited for.
+    system.proxy->narrow(SlowRate);
+    // The change takes several times as long as a silent host is waited for.
     std::vector<std::string> prefixes = incompressiblePrefixes(ManyRoutes);
     prefixes.insert(prefixes.begin(), "/p/");
     std::future<void> change = std::async(std::launch::async, [&] { system.putTable("r3", "r2", prefixes); });
@@ -100,10 +97,10 @@
     CHECK(serving.statusOf("/p/x") == 503);
     CHECK(serving.target.runs() == runs);
     change.get();
-    CHECK(serving.statusOf(prefixes.back() + "x") == 503); // known, with no target left
+    CHECK(serving.statusOf(prefixes.back() + "x") == 503); // a known route without targets
 }
 
-TEST_CASE("a host that is cut off serves on, and does not deny routes that it may have missed")
+TEST_CASE("a partitioned host keeps serving, and answers 503 for routes that it may lack")
 {
     ServingSystem serving(ControlLink::Proxied, NewsLease);
     CHECK(serving.statusOf("/new/x") == 404);
--- a/unittests/LateNews/RoutingOnItsWayTest.cpp
+++ b/unittests/LateNews/PendingRoutingTest.cpp
@@ -1,8 +1,8 @@
-//===- RoutingOnItsWayTest.cpp - An entry host whose routing does not arrive ---===//
+//===- PendingRoutingTest.cpp - Routing that doesn't arrive ---------------===//
 //
-// While a change of the routing is on its way, or can't be read, an entry host once asked for news 40 times a second,
-// which filled the link that was slow already, and took itself for current. A stand-in for a control host counts what
-// it is asked, and tells of a routing that it does not hand over, or that nobody can read.
+// Guards against a poll loop: while a routing change was pending or unreadable, an entry host requested updates 40
+// times a second, which filled its slow link, and took itself for current. A stub control host counts the requests, and
+// advertises a routing that it withholds or that can't be parsed.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet/FleetMessages.h"
@@ -16,23 +16,23 @@
 namespace
 {
 
-/// Asks and fetches that are borne: two a second are made while nothing is new, and some more as news come.
-constexpr double MostPerSecond = 6;
-constexpr double MostAtOnce = 10;
-/// Replies to wait for, so that asks without a pause would show.
-constexpr unsigned EnoughReplies = 6;
+/// Limits of polls and fetches: two a second are made without updates, and some more with each update.
+constexpr double MaxRequestsPerSecond = 6;
+constexpr double MaxRequestBurst = 10;
+/// Requests to wait for, so that a loop without a delay shows.
+constexpr unsigned MinRequests = 6;
 
-/// What the stand-in does with the routing of index 2.
-enum class Newest : std::uint8_t {
-    Withheld, ///< too long for a reply, and never handed over
+/// Fault of the stub's routing of index 2.
+enum class RoutingFault : std::uint8_t {
+    Withheld, ///< too long for a reply, and never sent
     Unreadable,
 };
 
 class StubControl
 {
 public:
-    StubControl(const Address &at, Newest newest)
-        : m_newest(newest)
+    StubControl(const Address &at, RoutingFault fault)
+        : m_fault(fault)
     {
         RouteTable table;
         table.version = 1;
@@ -51,28 +51,28 @@
     }
 
     std::atomic<std::uint64_t> newestIndex{1};
-    std::atomic<unsigned> asks{0};
+    std::atomic<unsigned> polls{0};
     std::atomic<unsigned> fetches{0};
 
 private:
     struct Held {
         IncomingCallPtr call;
-        FleetWatchCall ask;
+        FleetWatchCall request;
         std::chrono::steady_clock::time_point until;
     };
 
     void onCall(const IncomingCallPtr &call)
     {
         if (call->path() == fleet::path::FleetWatch) {
-            ++asks;
-            const auto ask = decode<FleetWatchCall>(call->body(), call->peer());
+            ++polls;
+            const auto request = decode<FleetWatchCall>(call->body(), call->peer());
             const std::lock_guard lock(m_mutex);
-            m_held.push_back({call, ask, std::chrono::steady_clock::now() + ask.maxWait});
+            m_held.push_back({call, request, std::chrono::steady_clock::now() + request.maxWait});
             return;
         }
         if (call->path() == fleet::path::FleetRouting) {
             ++fetches;
-            if (m_newest == Newest::Unreadable) {
+            if (m_fault == RoutingFault::Unreadable) {
                 call->reply(200, encode(FleetRoutingReply{{"no change"}}));
             } else {
                 m_withheld.push_back(call);
@@ -82,18 +82,19 @@
         call->reply(200, "");
     }
 
-    // As a control host does: at once where the asker has not heard of the newest, else after the asker's patience.
+    // Replies as a control host does: at once if the newest routing is not known to the requester, otherwise after its
+    // maximum wait.
     void run()
     {
         while (!m_stop) {
             {
                 const std::lock_guard lock(m_mutex);
                 std::erase_if(m_held, [this](const Held &held) {
-                    const bool isNews = held.ask.since == 0 || held.ask.newestRoutingIndex < newestIndex;
-                    if (!isNews && std::chrono::steady_clock::now() < held.until) {
+                    const bool hasUpdates = held.request.since == 0 || held.request.newestRoutingIndex < newestIndex;
+                    if (!hasUpdates && std::chrono::steady_clock::now() < held.until) {
                         return false;
                     }
-                    held.call->reply(200, encode(replyTo(held.ask)));
+                    held.call->reply(200, encode(replyTo(held.request)));
                     return true;
                 });
             }
@@ -101,23 +102,23 @@
         }
     }
 
-    FleetWatchReply replyTo(const FleetWatchCall &ask) const
+    FleetWatchReply replyTo(const FleetWatchCall &request) const
     {
         FleetWatchReply reply;
         reply.epoch = "life";
         reply.version = 1;
         reply.isCurrent = true;
-        reply.isWhole = ask.since == 0;
+        reply.isWhole = request.since == 0;
         reply.routingIndex = newestIndex;
-        if (ask.routingIndex == 0) {
+        if (request.routingIndex == 0) {
             reply.routingChanges = m_first.since(0);
-        } else if (m_newest == Newest::Unreadable && ask.routingIndex < newestIndex) {
+        } else if (m_fault == RoutingFault::Unreadable && request.routingIndex < newestIndex) {
             reply.routingChanges = {"no change"};
         }
         return reply;
     }
 
-    Newest m_newest;
+    RoutingFault m_fault;
     RoutingHistory m_first;
     std::mutex m_mutex;
     std::vector<Held> m_held;
@@ -127,12 +128,12 @@
     std::thread m_thread;
 };
 
-/// An entry host that follows the stand-in.
+/// An entry host that follows the stub.
 class Follower
 {
 public:
-    explicit Follower(Newest newest)
-        : control(addressOn(1, 17100), newest)
+    explicit Follower(RoutingFault fault)
+        : control(addressOn(1, 17100), fault)
     {
         FleetSettings settings;
         settings.name = "entry";
@@ -167,33 +168,33 @@
     std::unique_ptr<GatewayDaemon> m_gateway;
 };
 
-/// Counts what the stand-in is asked from the moment in which it has newer routing.
-void checkPace(Newest newest)
+/// Checks the rate of requests to the stub from the moment when it has newer routing.
+void checkRequestRate(RoutingFault fault)
 {
-    Follower follower(newest);
+    Follower follower(fault);
     StubControl &control = follower.control;
-    const unsigned before = control.asks + control.fetches;
+    const unsigned before = control.polls + control.fetches;
     const auto begun = std::chrono::steady_clock::now();
     control.newestIndex = 2;
     REQUIRE(System::eventually([&] { return control.fetches > 0; }));
-    control.newestIndex = 3; // a second change while the first is on its way
-    REQUIRE(System::eventually([&] { return control.asks + control.fetches >= before + EnoughReplies; }));
-    // Asks without a pause would reach the number at once, so as long again as that took is waited.
+    control.newestIndex = 3; // a second change while the first is pending
+    REQUIRE(System::eventually([&] { return control.polls + control.fetches >= before + MinRequests; }));
+    // A loop without a delay reaches the number at once, so wait as long again as that took.
     std::this_thread::sleep_for(std::max<Duration>(1s, std::chrono::steady_clock::now() - begun));
     const double passed = secondsOf(std::chrono::steady_clock::now() - begun);
-    CHECK(control.asks + control.fetches - before <= MostAtOnce + MostPerSecond * passed);
-    // Routes may have been added that this host has not got.
+    CHECK(control.polls + control.fetches - before <= MaxRequestBurst + MaxRequestsPerSecond * passed);
+    // Routes may have been added that this host lacks.
     CHECK(follower.statusOfUnknown() == 503);
 }
 
 } // namespace
 
-TEST_CASE("a host asks no faster while a change of the routing is on its way, and does not take itself for current")
+TEST_CASE("a host with a pending routing change keeps its request rate, and is not current")
 {
-    checkPace(Newest::Withheld);
+    checkRequestRate(RoutingFault::Withheld);
 }
 
-TEST_CASE("a host asks no faster while a change of the routing can't be read, and does not take itself for current")
+TEST_CASE("a host with an unreadable routing change keeps its request rate, and is not current")
 {
-    checkPace(Newest::Unreadable);
+    checkRequestRate(RoutingFault::Unreadable);
 }
