--- a/lib/Fleet/Settings.cpp
+++ b/lib/Fleet/Settings.cpp
@@ -1,4 +1,4 @@
-//===- Settings.cpp - Settings of hosts that find each other --------------===//
+//===- Settings.cpp - Settings of entry and control hosts -----------------===//
 #include "pepperlug/Fleet.h"
 
 namespace pepperlug::fleet
@@ -26,8 +26,8 @@
 FleetBounds readBounds(ObjectReader &reader)
 {
     FleetBounds bounds;
-    bounds.grace = readSeconds(reader, "grace_s", 6);
-    bounds.acknowledge = readSeconds(reader, "acknowledge_s", 4);
+    bounds.gracePeriod = readSeconds(reader, "grace_s", 6);
+    bounds.acknowledgeTimeout = readSeconds(reader, "acknowledge_s", 4);
     bounds.retries.ratio = reader.number("retry_ratio", 0, 10, 0.1);
     bounds.retries.window = readSeconds(reader, "retry_window_s", 10);
     bounds.retries.slack = reader.number("retry_slack", 0, 1e6, 10);
@@ -113,7 +113,7 @@
     }
     reader.finish();
     if (!settings.regionOfZone.contains(settings.zone) && findings.empty()) {
-        findings.push_back({file, "zone", "\"" + settings.zone + "\" is not among the zones"});
+        findings.push_back({file, "zone", "\"" + settings.zone + "\" is not a name in \"zones\""});
     }
     if (!findings.empty()) {
         throw InvalidInput(findings);
--- a/unittests/EndingRequests/EndingRequestTest.cpp
+++ b/unittests/EndingRequests/EndingRequestTest.cpp
@@ -28,7 +28,7 @@
 {
 public:
     explicit CrashingSystem(Duration firstProbeDelay = FirstProbeDelay)
-        : m_system(ControlLink::Direct, 2 * Patience, 2 * Patience, firstProbeDelay)
+        : m_system(ControlLink::Direct, 2 * EventTimeout, 2 * EventTimeout, firstProbeDelay)
     {
         nlohmann::json table = nlohmann::json::parse(System::tableText("r2", {"/p/"}));
         nlohmann::json &route = table["hosts"][0]["paths"][0];
@@ -74,12 +74,12 @@
     /// Restarts the control host and one entry host; `losesStoredSuspects`: without the suspects stored on disk.
     void restart(bool losesStoredSuspects)
     {
-        REQUIRE(System::eventually([&] { return m_system.rememberedSuspects() == 1; }));
+        REQUIRE(System::eventually([&] { return m_system.cachedSuspectCount() == 1; }));
         {
             const std::lock_guard lock(m_controlMutex);
             m_system.endAll();
             if (losesStoredSuspects) {
-                m_system.forgetSuspects();
+                m_system.clearCachedSuspects();
             }
             m_system.start();
         }
@@ -132,7 +132,7 @@
         const nlohmann::json report{{"service", "s"}, {"addr", target.address()}, {"zone", "z1"},   {"version", "v1"},
                                     {"slots", 4},     {"state", "ready"},         {"coldLeftS", 0}, {"seq", sequence}};
         const std::lock_guard lock(m_controlMutex);
-        m_system.beat(target.id(), report.dump());
+        m_system.sendReport(target.id(), report.dump());
     }
 
     System m_system;
@@ -153,7 +153,7 @@
     CrashingSystem system;
     unsigned nextEntryHost = 0;
     std::optional<std::chrono::steady_clock::time_point> thirdCrashAt;
-    const auto deadline = std::chrono::steady_clock::now() + Patience;
+    const auto deadline = std::chrono::steady_clock::now() + EventTimeout;
     while (std::chrono::steady_clock::now() < (thirdCrashAt ? *thirdCrashAt + PropagationTime + TimeAfter : deadline)) {
         system.statusOf(nextEntryHost++ % CrashingSystem::EntryHosts, CrashingPath);
         std::this_thread::sleep_for(100ms);
--- a/unittests/Fleet/RememberedTest.cpp
+++ b/unittests/Fleet/CachedStateTest.cpp
@@ -1,5 +1,5 @@
-//===- RememberedTest.cpp - What a control host knew before a restart -----===//
-#include "Fleet/Remembered.h"
+//===- CachedStateTest.cpp - Control host state from before a restart -----===//
+#include "Fleet/CachedState.h"
 
 #include <catch2/catch.hpp>
 
@@ -21,7 +21,7 @@
     return {id, "s", "10.0.0." + id + ":80", "z1", 4, presence, coldLeft, 1};
 }
 
-/// A file of its own, removed at the end.
+/// A file that is removed at the end of the test.
 class TemporaryFile
 {
 public:
@@ -53,12 +53,12 @@
 
 } // namespace
 
-TEST_CASE("targets that are ready and warm are remembered, and come back from the file")
+TEST_CASE("ready and warm targets are cached and restored from the file")
 {
     TemporaryFile file;
-    CHECK_FALSE(readRemembered(file.path));
-    writeRemembered(file.path, rememberedOf(RoutingState{}, someTargets()));
-    const std::optional<Remembered> read = readRemembered(file.path);
+    CHECK_FALSE(readCachedState(file.path));
+    writeCachedState(file.path, makeCachedState(RoutingState{}, someTargets()));
+    const std::optional<CachedState> read = readCachedState(file.path);
     REQUIRE(read);
     REQUIRE(read->targets.size() == 2);
     CHECK(read->targets[0].id == "1");
@@ -66,14 +66,14 @@
     CHECK(read->routing.index() == 0);
 }
 
-TEST_CASE("a file that can't be read is told with its path")
+TEST_CASE("an error about an unreadable file names its path")
 {
     TemporaryFile file;
     std::ofstream(file.path) << "no such thing";
-    CHECK_THROWS_WITH(readRemembered(file.path), Catch::Contains(file.path));
+    CHECK_THROWS_WITH(readCachedState(file.path), Catch::Contains(file.path));
 }
 
-TEST_CASE("the routing comes back from the file as it was agreed on")
+TEST_CASE("the committed routing is restored from the file")
 {
     TemporaryFile file;
     RoutingState routing;
@@ -81,20 +81,20 @@
     REQUIRE(routing.apply(put, 6) == RoutingResult::Done);
     RoutingCommand evacuate{RoutingCommandKind::EvacuateZone, 0, 0, {}, "z2"};
     REQUIRE(routing.apply(evacuate, 7) == RoutingResult::Done);
-    writeRemembered(file.path, rememberedOf(routing, someTargets()));
-    const std::optional<Remembered> read = readRemembered(file.path);
+    writeCachedState(file.path, makeCachedState(routing, someTargets()));
+    const std::optional<CachedState> read = readCachedState(file.path);
     REQUIRE(read);
     CHECK(read->routing.index() == 7);
     CHECK(read->routing.text() == "table");
     CHECK(read->routing.evacuatedZones() == std::set<std::string>{"z2"});
 }
 
-TEST_CASE("a remembered target is told only while nothing newer is known of it")
+TEST_CASE("a cached target is sent only while there is no newer report of it")
 {
-    const Remembered remembered = rememberedOf(RoutingState{}, someTargets());
+    const CachedState state = makeCachedState(RoutingState{}, someTargets());
     Registry now;
     now.receive(report("1", Presence::Draining), Start);
-    const std::vector<TargetReport> unheard = unheardOf(remembered.targets, now);
-    REQUIRE(unheard.size() == 1);
-    CHECK(unheard[0].id == "4");
+    const std::vector<TargetReport> unreported = unreportedTargets(state.targets, now);
+    REQUIRE(unreported.size() == 1);
+    CHECK(unreported[0].id == "4");
 }
--- a/unittests/Fleet/System.h
+++ b/unittests/Fleet/System.h
@@ -1,13 +1,13 @@
 //===- System.h - One control and one entry host over loopback --*- C++ -*-===//
 //
-// Real daemons with a stand-in for the platform's clients, targets and operator,
-// at the sockets. Everything that is waited for is an event: a request is repeated
-// until the answer is the one that must come.
+// Real daemons with fakes of the platform's clients, targets and operator at
+// their sockets. Tests wait for events, not for times: a request is repeated
+// until the expected answer arrives.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "Fleet/Remembered.h"
+#include "Fleet/CachedState.h"
 #include "platform/Dialect.h"
 #include "test/soak/FaultProxy.h"
 
@@ -24,11 +24,11 @@
 
 using namespace std::chrono_literals;
 
-/// Upper bound for what must come; no test is judged by its time.
-constexpr auto Patience = 30s;
-constexpr auto Pause = 10ms;
+/// Upper bound of the wait for an event; no test depends on how long an event takes.
+constexpr auto EventTimeout = 30s;
+constexpr auto RetryInterval = 10ms;
 
-/// An address on a loopback network that no other process of the tests uses, so that no port can be taken.
+/// Returns an address on a loopback network that no other test process uses, so that no port is taken.
 inline Address addressOn(unsigned host, std::uint16_t port)
 {
     constexpr unsigned Octet = 250;
@@ -37,8 +37,8 @@
     return {"127." + network + "." + std::to_string(host), port};
 }
 
-/// Path prefixes that differ in 32 signs which do not compress, so that a table of them needs its whole length on a
-/// link.
+/// Returns path prefixes with 32 random digits each. These don't compress, so a table of them needs its full length on
+/// a link.
 inline std::vector<std::string> incompressiblePrefixes(std::size_t count)
 {
     constexpr std::size_t RandomBytes = 16;
@@ -55,7 +55,7 @@
     return result.get();
 }
 
-/// A target that counts what it ran, and answers as it is told to.
+/// A target that counts its runs and answers as configured.
 class FakeTarget
 {
 public:
@@ -82,28 +82,28 @@
         return m_runs;
     }
 
-    /// When requests came that named this target, whether it ran them or not.
+    /// Returns the arrival times of requests for this target, whether it ran them or not.
     std::vector<std::chrono::steady_clock::time_point> arrivals()
     {
         const std::lock_guard lock(m_mutex);
         return m_arrivals;
     }
 
-    /// Headers of all later answers, besides those that each answer bears.
+    /// Sets headers that are added to all later answers.
     void setAnswerHeaders(std::vector<HeaderField> headers)
     {
         const std::lock_guard lock(m_mutex);
         m_answerHeaders = std::move(headers);
     }
 
-    /// Of the request that it ran last.
+    /// Returns a header of the request that ran last.
     std::optional<std::string> lastHeader(const std::string &name)
     {
         const std::lock_guard lock(m_mutex);
         return m_last.header(name);
     }
 
-    /// Requests are kept unanswered until release().
+    /// Holds requests unanswered until release().
     void hold()
     {
         const std::lock_guard lock(m_mutex);
@@ -123,9 +123,9 @@
         }
     }
 
-    std::atomic<bool> answersForAnother{false};
+    std::atomic<bool> usesWrongRequestId{false};
     std::atomic<std::size_t> bodyBytes{0}; ///< length of answers; 0 for a short one
-    std::atomic<bool> breaksOff{false}; ///< ends its connection in the middle of an answer
+    std::atomic<bool> truncatesAnswers{false}; ///< closes the connection in the middle of an answer
     std::atomic<bool> sheds{false}; ///< answers 503 and runs nothing
 
 private:
@@ -166,13 +166,13 @@
 
     void answer(const HttpExchangePtr &exchange)
     {
-        const std::string id = answersForAnother ? "another" : exchange->request().header("X-Request-Id").value_or("");
+        const std::string id = usesWrongRequestId ? "another" : exchange->request().header("X-Request-Id").value_or("");
         Answer head{200, {{"X-Request-Id", id}, {"X-Upstream-Seal", "seal"}}, {}};
         {
             const std::lock_guard lock(m_mutex);
             head.headers.insert(head.headers.end(), m_answerHeaders.begin(), m_answerHeaders.end());
         }
-        if (breaksOff) {
+        if (truncatesAnswers) {
             exchange->begin(head, bodyBytes);
             exchange->more(std::string(bodyBytes / 2, 'x'));
             exchange->abort();
@@ -196,28 +196,28 @@
 /// How the entry host reaches the control host.
 enum class ControlLink : std::uint8_t {
     Direct,
-    Proxied, ///< through System::proxy, which can spoil it
+    Proxied, ///< through System::proxy, which injects faults
 };
 
-/// One control and one entry host in a folder of their own.
+/// One control and one entry host with a temporary folder.
 class System
 {
 public:
-    /// `acknowledge`: in what time operators expect an answer. By default one that no test waits for, since a machine
-    /// that is busy may hold a host up.
-    explicit System(ControlLink link = ControlLink::Direct, Duration newsLease = 2 * Patience,
-                    Duration acknowledge = 2 * Patience, Duration firstTrialPause = FirstProbeDelay)
+    /// `acknowledgeTimeout`: within which operators expect an answer. The default is longer than any test waits, since
+    /// a busy machine may delay a host.
+    explicit System(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * EventTimeout,
+                    Duration acknowledgeTimeout = 2 * EventTimeout, Duration firstProbePause = FirstProbeDelay)
         : m_folder(std::filesystem::temp_directory_path() / ("pepperlug-fleet-" + randomHex(8)))
     {
         std::filesystem::create_directories(m_folder);
         FleetSettings settings;
         settings.zone = "z1";
         settings.regionOfZone = {{"z1", "r1"}, {"z2", "r2"}};
-        settings.bounds.grace = 5s;
+        settings.bounds.gracePeriod = 5s;
         settings.bounds.retries = {0.2, 10s, 40};
-        settings.bounds.acknowledge = acknowledge;
-        settings.newsLease = newsLease;
-        settings.firstTrialPause = firstTrialPause;
+        settings.bounds.acknowledgeTimeout = acknowledgeTimeout;
+        settings.updateLease = updateLease;
+        settings.firstProbePause = firstProbePause;
         settings.maxBodyBytes = 1 << 20;
         settings.maxAnswerBytes = 1 << 20;
         FleetSettings &control = m_control;
@@ -255,7 +255,7 @@
         std::filesystem::remove_all(m_folder);
     }
 
-    /// Both hosts end without notice and start again; the disk remains.
+    /// Ends both hosts abruptly and starts them again; the data folder remains.
     void restartAll()
     {
         endAll();
@@ -274,7 +274,7 @@
         gateway = std::make_unique<GatewayDaemon>(m_entry, m_clock, callerDialect<platform::Clients>());
     }
 
-    /// A further entry host, at an address of its own.
+    /// Starts a further entry host at an address of its own.
     std::unique_ptr<GatewayDaemon> startEntryHost(unsigned number)
     {
         constexpr unsigned FirstFurther = 10;
@@ -285,30 +285,30 @@
         return std::make_unique<GatewayDaemon>(settings, m_clock, callerDialect<platform::Clients>());
     }
 
-    /// Replaces what the control host remembers; it must have ended.
-    void remember(const Remembered &remembered) const
+    /// Replaces the control host's cache file; the control host must have ended.
+    void writeCache(const CachedState &state) const
     {
-        writeRemembered(m_control.dataFolder + "/remembered", remembered);
+        writeCachedState(m_control.dataFolder + "/remembered", state);
     }
 
-    /// The control host must have ended.
-    void forgetSuspects() const
+    /// Removes the suspects from the cache file; the control host must have ended.
+    void clearCachedSuspects() const
     {
-        std::optional<Remembered> remembered = readRemembered(m_control.dataFolder + "/remembered");
-        remembered.value().suspects.clear();
-        remember(*remembered);
+        std::optional<CachedState> state = readCachedState(m_control.dataFolder + "/remembered");
+        state.value().suspects.clear();
+        writeCache(*state);
     }
 
-    std::size_t rememberedTargets() const
+    std::size_t cachedTargetCount() const
     {
-        const std::optional<Remembered> remembered = readRemembered(m_control.dataFolder + "/remembered");
-        return remembered ? remembered->targets.size() : 0;
+        const std::optional<CachedState> state = readCachedState(m_control.dataFolder + "/remembered");
+        return state ? state->targets.size() : 0;
     }
 
-    std::size_t rememberedSuspects() const
+    std::size_t cachedSuspectCount() const
     {
-        const std::optional<Remembered> remembered = readRemembered(m_control.dataFolder + "/remembered");
-        return remembered ? remembered->suspects.size() : 0;
+        const std::optional<CachedState> state = readCachedState(m_control.dataFolder + "/remembered");
+        return state ? state->suspects.size() : 0;
     }
 
     Answer operatorCall(const std::string &path, const std::string &body, const std::string &base = {})
@@ -336,14 +336,15 @@
         return fetchOnce(m_client, call).answer;
     }
 
-    /// Repeats a step until it returns true.
+    /// Repeats a step until it returns true. Returns false at the timeout.
     static bool eventually(const std::function<bool()> &step)
     {
-        for (const auto end = std::chrono::steady_clock::now() + Patience; std::chrono::steady_clock::now() < end;) {
+        for (const auto end = std::chrono::steady_clock::now() + EventTimeout;
+             std::chrono::steady_clock::now() < end;) {
             if (step()) {
                 return true;
             }
-            std::this_thread::sleep_for(Pause);
+            std::this_thread::sleep_for(RetryInterval);
         }
         return false;
     }
@@ -361,7 +362,7 @@
                 {"prio", 1},    {"service", "s"},       {"attempts", 2}};
     }
 
-    /// A table with a route for each prefix.
+    /// Returns a table with a route for each prefix.
     static std::string tableText(const std::string &version, const std::vector<std::string> &prefixes)
     {
         nlohmann::json paths = nlohmann::json::array();
@@ -377,19 +378,19 @@
             .dump();
     }
 
-    /// What a target says of itself.
+    /// Returns the report of a target.
     static nlohmann::json reportOf(const FakeTarget &target, int sequence, const std::string &state = "ready")
     {
         return {{"service", "s"}, {"addr", target.address()}, {"zone", "z1"},   {"version", "v1"},
                 {"slots", 4},     {"state", state},           {"coldLeftS", 0}, {"seq", sequence}};
     }
 
-    Answer beat(const std::string &id, const FakeTarget &target, int sequence, const std::string &state = "ready")
+    Answer sendReport(const std::string &id, const FakeTarget &target, int sequence, const std::string &state = "ready")
     {
-        return beat(id, reportOf(target, sequence, state).dump());
+        return sendReport(id, reportOf(target, sequence, state).dump());
     }
 
-    Answer beat(const std::string &id, const std::string &report)
+    Answer sendReport(const std::string &id, const std::string &report)
     {
         return operatorCall("/api/Instances.Heartbeat/" + id, report);
     }
@@ -404,7 +405,7 @@
         return get(m_metrics, "/metrics");
     }
 
-    std::unique_ptr<soak::FaultProxy> proxy; ///< null unless the link is proxied
+    std::unique_ptr<soak::FaultProxy> proxy; ///< null if the link is direct
     std::unique_ptr<RegistryDaemon> registry;
     std::unique_ptr<GatewayDaemon> gateway;
 
@@ -417,14 +418,14 @@
     HttpClient m_client{1 << 20};
 };
 
-/// A system with a configuration and one target, once it serves.
+/// A system with a configuration and one target that serves requests.
 struct ServingSystem {
-    explicit ServingSystem(ControlLink link = ControlLink::Direct, Duration newsLease = 2 * Patience,
-                           Duration acknowledge = 2 * Patience)
-        : system(link, newsLease, acknowledge)
+    explicit ServingSystem(ControlLink link = ControlLink::Direct, Duration updateLease = 2 * EventTimeout,
+                           Duration acknowledgeTimeout = 2 * EventTimeout)
+        : system(link, updateLease, acknowledgeTimeout)
     {
         system.putTable("r2", "0");
-        system.beat("i-1", target, 1);
+        system.sendReport("i-1", target, 1);
         REQUIRE(system.becomesReady());
     }
 
@@ -433,11 +434,12 @@
         return system.get(system.gateway->callersAddress(), path).status;
     }
 
-    /// The target says that it leaves, until this is acknowledged.
+    /// Repeats the target's departure report until it is acknowledged.
     void drainUntilAcknowledged()
     {
         int sequence = 1;
-        REQUIRE(System::eventually([&] { return system.beat("i-1", target, ++sequence, "draining").status == 200; }));
+        REQUIRE(
+            System::eventually([&] { return system.sendReport("i-1", target, ++sequence, "draining").status == 200; }));
     }
 
     System system;
--- a/unittests/InForce/OvertakenAskTest.cpp
+++ b/unittests/InForce/OvertakenAskTest.cpp
@@ -67,7 +67,7 @@
     {
         auto promise = std::make_shared<std::promise<PeerReply>>();
         std::future<PeerReply> reply = promise->get_future();
-        m_net.call(m_other, path, body, Patience, [promise](PeerReply it) { promise->set_value(std::move(it)); });
+        m_net.call(m_other, path, body, EventTimeout, [promise](PeerReply it) { promise->set_value(std::move(it)); });
         return reply.get();
     }
 
@@ -106,7 +106,7 @@
     FleetWatchCall delayed;
     delayed.self = entryHost(EarlierSequence);
     delayed.routingIndex = 1;
-    delayed.routingHeard = 1;
+    delayed.newestRoutingIndex = 1;
     REQUIRE(other.call(fleet::path::FleetAlive, encode(delayed)).delivered);
     serving.drainUntilAcknowledged();
 }
