--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -119,7 +119,7 @@
 };
 
 /// A control host that is current answered.
-struct ControlHeard {
+struct ControlReplied {
     std::uint64_t index = 0;
 };
 
@@ -206,7 +206,7 @@
 };
 
 using Event =
-    std::variant<ConfigApplied, ControlHeard, LookupArrived, RequestArrived, AttemptEnded, CallerLeft, LeaseAsked,
+    std::variant<ConfigApplied, ControlReplied, LookupArrived, RequestArrived, AttemptEnded, CallerLeft, LeaseAsked,
                  LeaseGranted, LeaseFailed, TargetReported, PlatformListed, ClaimSynced, StopAsked, Tick>;
 
 //===-- Effects -------------------------------------------------------------===//
--- a/lib/Daemon/ConfigWatch.cpp
+++ b/lib/Daemon/ConfigWatch.cpp
@@ -89,7 +89,7 @@
         }
         applyPendingConfig();
         if (message && message->current) {
-            post(ControlHeard{message->index});
+            post(ControlReplied{message->index});
         }
     });
 }
--- a/lib/Model/Driver.cpp
+++ b/lib/Model/Driver.cpp
@@ -74,7 +74,7 @@
     host.steering.emplace(settings, localTime(id));
     if (reachesControl(id)) {
         post(id, m_config);
-        post(id, ControlHeard{m_config.index});
+        post(id, ControlReplied{m_config.index});
     }
     tickHost(id, host.incarnation);
 }
@@ -93,7 +93,7 @@
         if (host.steering->configIndex() < m_config.index) {
             post(id, m_config);
         }
-        post(id, ControlHeard{m_config.index});
+        post(id, ControlReplied{m_config.index});
     }
     after(m_settings.tick, [this, id, incarnation] { tickHost(id, incarnation); });
 }
--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -149,7 +149,7 @@
     }
 }
 
-void Steering::Impl::on(const ControlHeard &event)
+void Steering::Impl::on(const ControlReplied &event)
 {
     m_guard.controlHeard(event.index, m_now);
 }
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -76,7 +76,7 @@
     Impl(SteerSettings settings, TimePoint now);
 
     void on(const ConfigApplied &event);
-    void on(const ControlHeard &event);
+    void on(const ControlReplied &event);
     void on(const LookupArrived &event);
     void on(const RequestArrived &event);
     void on(const AttemptEnded &event);
--- a/lib/Steer/TraceReader.cpp
+++ b/lib/Steer/TraceReader.cpp
@@ -104,7 +104,7 @@
         return event;
     }
     if (kind == "control-heard") {
-        return ControlHeard{line.at("index").get<std::uint64_t>()};
+        return ControlReplied{line.at("index").get<std::uint64_t>()};
     }
     if (kind == "lookup") {
         return LookupArrived{readId<RequestId>(line, "id"), readId<ServiceId>(line, "service"),
--- a/lib/Steer/TraceWriter.cpp
+++ b/lib/Steer/TraceWriter.cpp
@@ -34,7 +34,7 @@
                 {"void_hosts", it.voidHosts}};
     }
 
-    json operator()(const ControlHeard &it) const
+    json operator()(const ControlReplied &it) const
     {
         return {{"event", "control-heard"}, {"index", it.index}};
     }
--- a/unittests/Steer/PropertyTest.cpp
+++ b/unittests/Steer/PropertyTest.cpp
@@ -35,7 +35,7 @@
         m_syncClaims = syncClaims;
         m_steering.emplace(settings, m_now);
         reduce(ConfigApplied{m_bundle, ++m_index, {}, {}, {}});
-        reduce(ControlHeard{m_index});
+        reduce(ControlReplied{m_index});
         confirmPeers();
     }
 
@@ -189,7 +189,7 @@
             config.voidHosts.push_back("istanbul-a-2");
         }
         reduce(config);
-        reduce(ControlHeard{m_index});
+        reduce(ControlReplied{m_index});
         if (*rc::gen::inRange(0, 2) == 0) {
             confirmPeers();
         }
