--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -161,7 +161,7 @@
     AnswerPtr answer; ///< of a once-only operation, to be kept
 };
 
-struct CallerLeft {
+struct CallerDisconnected {
     RequestId id{};
 };
 
@@ -206,8 +206,8 @@
 };
 
 using Event =
-    std::variant<ConfigApplied, ControlReplied, LookupArrived, RequestArrived, AttemptEnded, CallerLeft, LeaseAsked,
-                 LeaseGranted, LeaseFailed, TargetReported, PlatformListed, ClaimSynced, StopAsked, Tick>;
+    std::variant<ConfigApplied, ControlReplied, LookupArrived, RequestArrived, AttemptEnded, CallerDisconnected,
+                 LeaseAsked, LeaseGranted, LeaseFailed, TargetReported, PlatformListed, ClaimSynced, StopAsked, Tick>;
 
 //===-- Effects -------------------------------------------------------------===//
 
--- a/lib/Daemon/EntryHttp.cpp
+++ b/lib/Daemon/EntryHttp.cpp
@@ -190,7 +190,7 @@
     if (!submit(bundle, std::move(pending), event)) {
         return false;
     }
-    exchange->onDeparture([this, id] { post(CallerLeft{id}); });
+    exchange->onDeparture([this, id] { post(CallerDisconnected{id}); });
     return true;
 }
 
--- a/lib/Daemon/EntryPeer.cpp
+++ b/lib/Daemon/EntryPeer.cpp
@@ -89,7 +89,7 @@
     if (!submit(bundle, std::move(pending), event)) {
         return false;
     }
-    call->onCancel([this, id] { post(CallerLeft{id}); });
+    call->onCancel([this, id] { post(CallerDisconnected{id}); });
     return true;
 }
 
--- a/lib/Model/Driver.cpp
+++ b/lib/Model/Driver.cpp
@@ -235,7 +235,7 @@
     const auto sent = it->second.forwarded.find(effect.attempt);
     if (sent != it->second.forwarded.end()) {
         const auto remote = sent->second;
-        after(latency(host, remote.first), [this, remote] { post(remote.first, CallerLeft{remote.second}); });
+        after(latency(host, remote.first), [this, remote] { post(remote.first, CallerDisconnected{remote.second}); });
         return;
     }
     const auto attempt = it->second.running.find(effect.attempt);
@@ -281,7 +281,8 @@
         --m_targets[idx(target)].running;
     }
     for (const auto &[attempt, remote] : request.forwarded) {
-        after(latency(host, remote.first), [this, remote = remote] { post(remote.first, CallerLeft{remote.second}); });
+        after(latency(host, remote.first),
+              [this, remote = remote] { post(remote.first, CallerDisconnected{remote.second}); });
     }
     const Origin origin = request.origin;
     if (origin.operation) {
--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -241,7 +241,7 @@
     runQueue(service);
 }
 
-void Steering::Impl::on(const CallerLeft &event)
+void Steering::Impl::on(const CallerDisconnected &event)
 {
     const auto it = m_requests.find(event.id);
     if (it == m_requests.end() || it->second.phase == Phase::Detached) {
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -80,7 +80,7 @@
     void on(const LookupArrived &event);
     void on(const RequestArrived &event);
     void on(const AttemptEnded &event);
-    void on(const CallerLeft &event);
+    void on(const CallerDisconnected &event);
     void on(const LeaseAsked &event);
     void on(const LeaseGranted &event);
     void on(const LeaseFailed &event);
--- a/lib/Steer/TraceReader.cpp
+++ b/lib/Steer/TraceReader.cpp
@@ -117,7 +117,7 @@
         return readAttemptEnded(line);
     }
     if (kind == "caller-left") {
-        return CallerLeft{readId<RequestId>(line, "id")};
+        return CallerDisconnected{readId<RequestId>(line, "id")};
     }
     if (kind == "lease-asked") {
         return LeaseAsked{readId<HostId>(line, "holder"), readLeaseRequest(line)};
--- a/lib/Steer/TraceWriter.cpp
+++ b/lib/Steer/TraceWriter.cpp
@@ -69,7 +69,7 @@
                 {"leaving", it.targetLeaving}};
     }
 
-    json operator()(const CallerLeft &it) const
+    json operator()(const CallerDisconnected &it) const
     {
         return {{"event", "caller-left"}, {"id", idx(it.id)}};
     }
--- a/unittests/Steer/PropertyTest.cpp
+++ b/unittests/Steer/PropertyTest.cpp
@@ -170,7 +170,7 @@
         }
         const RequestId id = *m_open.begin();
         const bool mayGoOn = !m_keys[id].empty();
-        reduce(CallerLeft{id});
+        reduce(CallerDisconnected{id});
         if (!mayGoOn) {
             m_open.erase(id); // nobody waits for its end any more
         } else {
