--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -165,7 +165,7 @@
     RequestId id{};
 };
 
-struct LeaseAsked {
+struct LeaseRequestArrived {
     HostId holder{};
     LeaseRequest request;
 };
@@ -205,9 +205,9 @@
 struct Tick {
 };
 
-using Event =
-    std::variant<ConfigApplied, ControlReplied, LookupArrived, RequestArrived, AttemptEnded, CallerDisconnected,
-                 LeaseAsked, LeaseGranted, LeaseFailed, TargetReported, PlatformListed, ClaimSynced, StopAsked, Tick>;
+using Event = std::variant<ConfigApplied, ControlReplied, LookupArrived, RequestArrived, AttemptEnded,
+                           CallerDisconnected, LeaseRequestArrived, LeaseGranted, LeaseFailed, TargetReported,
+                           PlatformListed, ClaimSynced, StopAsked, Tick>;
 
 //===-- Effects -------------------------------------------------------------===//
 
--- a/lib/Daemon/EntryPeer.cpp
+++ b/lib/Daemon/EntryPeer.cpp
@@ -33,7 +33,7 @@
         return;
     }
     m_leaseCall = call;
-    reduceLocked(LeaseAsked{*holder, message.request});
+    reduceLocked(LeaseRequestArrived{*holder, message.request});
     m_leaseCall = nullptr;
 }
 
--- a/lib/Model/Messages.cpp
+++ b/lib/Model/Messages.cpp
@@ -23,7 +23,7 @@
 {
     const std::uint64_t incarnation = m_hosts[idx(holder)].incarnation;
     sendLease(holder, effect.issuer, [this, holder, issuer = effect.issuer, request = effect.request] {
-        post(issuer, LeaseAsked{holder, request});
+        post(issuer, LeaseRequestArrived{holder, request});
     });
     after(effect.timeout, [this, holder, incarnation, issuer = effect.issuer, sequence = effect.request.sequence] {
         if (m_hosts[idx(holder)].incarnation == incarnation) {
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -81,7 +81,7 @@
     void on(const RequestArrived &event);
     void on(const AttemptEnded &event);
     void on(const CallerDisconnected &event);
-    void on(const LeaseAsked &event);
+    void on(const LeaseRequestArrived &event);
     void on(const LeaseGranted &event);
     void on(const LeaseFailed &event);
     void on(const TargetReported &event);
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -62,7 +62,7 @@
     return all;
 }
 
-void Steering::Impl::on(const LeaseAsked &event)
+void Steering::Impl::on(const LeaseRequestArrived &event)
 {
     if (!m_self || idx(event.holder) >= m_bundle->hosts.size()) {
         return;
--- a/lib/Steer/TraceReader.cpp
+++ b/lib/Steer/TraceReader.cpp
@@ -120,7 +120,7 @@
         return CallerDisconnected{readId<RequestId>(line, "id")};
     }
     if (kind == "lease-asked") {
-        return LeaseAsked{readId<HostId>(line, "holder"), readLeaseRequest(line)};
+        return LeaseRequestArrived{readId<HostId>(line, "holder"), readLeaseRequest(line)};
     }
     if (kind == "lease-granted") {
         return LeaseGranted{readId<HostId>(line, "issuer"), readLeaseGrant(line)};
--- a/lib/Steer/TraceWriter.cpp
+++ b/lib/Steer/TraceWriter.cpp
@@ -74,7 +74,7 @@
         return {{"event", "caller-left"}, {"id", idx(it.id)}};
     }
 
-    json operator()(const LeaseAsked &it) const
+    json operator()(const LeaseRequestArrived &it) const
     {
         json wants = json::array();
         for (const ServiceWant &want : it.request.wants) {
--- a/unittests/Steer/PropertyTest.cpp
+++ b/unittests/Steer/PropertyTest.cpp
@@ -160,7 +160,7 @@
             request.wants.push_back({service, static_cast<std::uint32_t>(*rc::gen::inRange(0, 5)),
                                      static_cast<std::uint32_t>(*rc::gen::inRange(0, 8))});
         }
-        reduce(LeaseAsked{holder, request});
+        reduce(LeaseRequestArrived{holder, request});
     }
 
     void leave()
@@ -201,7 +201,7 @@
         request.sequence = ++m_peerSequence + 1000;
         request.incarnation = 77;
         request.configIndex = m_index;
-        reduce(LeaseAsked{makeId<HostId>(1), request});
+        reduce(LeaseRequestArrived{makeId<HostId>(1), request});
         reduce(Tick{});
     }
 
