--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -189,7 +189,7 @@
 };
 
 /// The platform's list of what is leaving. It lags; it is a hint to stop, never a reason to start.
-struct PlatformListed {
+struct PlatformListArrived {
     std::vector<std::string> leavingTargets;
 };
 
@@ -207,7 +207,7 @@
 
 using Event = std::variant<ConfigApplied, ControlReplied, LookupArrived, RequestArrived, AttemptEnded,
                            CallerDisconnected, LeaseRequestArrived, LeaseGranted, LeaseFailed, TargetReported,
-                           PlatformListed, ClaimSynced, StopAsked, Tick>;
+                           PlatformListArrived, ClaimSynced, StopAsked, Tick>;
 
 //===-- Effects -------------------------------------------------------------===//
 
--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -173,7 +173,7 @@
     return m_drainedHosts[idx(host)];
 }
 
-void Steering::Impl::on(const PlatformListed &event)
+void Steering::Impl::on(const PlatformListArrived &event)
 {
     if (!m_self) {
         return;
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -85,7 +85,7 @@
     void on(const LeaseGranted &event);
     void on(const LeaseFailed &event);
     void on(const TargetReported &event);
-    void on(const PlatformListed &event);
+    void on(const PlatformListArrived &event);
     void on(const ClaimSynced &event);
     void on(const StopAsked &event);
     void on(const Tick &event);
--- a/lib/Steer/TraceReader.cpp
+++ b/lib/Steer/TraceReader.cpp
@@ -133,7 +133,7 @@
                               line.at("load").get<double>(), line.at("leaving").get<bool>()};
     }
     if (kind == "platform-listed") {
-        return PlatformListed{line.at("leaving").get<std::vector<std::string>>()};
+        return PlatformListArrived{line.at("leaving").get<std::vector<std::string>>()};
     }
     if (kind == "claim-synced") {
         return ClaimSynced{readId<RequestId>(line, "id"), static_cast<ClaimState>(line.at("state").get<int>())};
--- a/lib/Steer/TraceWriter.cpp
+++ b/lib/Steer/TraceWriter.cpp
@@ -122,7 +122,7 @@
                 {"leaving", it.leaving}};
     }
 
-    json operator()(const PlatformListed &it) const
+    json operator()(const PlatformListArrived &it) const
     {
         return {{"event", "platform-listed"}, {"leaving", it.leavingTargets}};
     }
