--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -199,7 +199,7 @@
     ClaimState state = ClaimState::Claimed; ///< of the record
 };
 
-struct StopAsked {
+struct StopRequested {
 };
 
 struct Tick {
@@ -207,7 +207,7 @@
 
 using Event = std::variant<ConfigApplied, ControlReplied, LookupArrived, RequestArrived, AttemptEnded,
                            CallerDisconnected, LeaseRequestArrived, LeaseGranted, LeaseFailed, TargetReported,
-                           PlatformListArrived, ClaimSynced, StopAsked, Tick>;
+                           PlatformListArrived, ClaimSynced, StopRequested, Tick>;
 
 //===-- Effects -------------------------------------------------------------===//
 
@@ -299,7 +299,7 @@
     std::string detail;
 };
 
-/// This host has nothing left to do after StopAsked.
+/// This host has nothing left to do after StopRequested.
 struct StopReady {
 };
 
--- a/lib/Daemon/EntryDaemon.cpp
+++ b/lib/Daemon/EntryDaemon.cpp
@@ -144,7 +144,7 @@
 
 void EntryDaemon::Impl::stopGracefully()
 {
-    post(StopAsked{});
+    post(StopRequested{});
     std::unique_lock lock(m_stopMutex);
     m_stopped.wait(lock, [this] { return m_stopReady; });
 }
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -87,7 +87,7 @@
     void on(const TargetReported &event);
     void on(const PlatformListArrived &event);
     void on(const ClaimSynced &event);
-    void on(const StopAsked &event);
+    void on(const StopRequested &event);
     void on(const Tick &event);
 
     // Config.cpp
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -104,7 +104,7 @@
     m_pool.setDrain(event.target, DrainSource::Target, event.leaving, m_now, *m_out);
 }
 
-void Steering::Impl::on(const StopAsked &)
+void Steering::Impl::on(const StopRequested &)
 {
     if (m_stopAskedAt) {
         return;
--- a/lib/Steer/TraceReader.cpp
+++ b/lib/Steer/TraceReader.cpp
@@ -139,7 +139,7 @@
         return ClaimSynced{readId<RequestId>(line, "id"), static_cast<ClaimState>(line.at("state").get<int>())};
     }
     if (kind == "stop") {
-        return StopAsked{};
+        return StopRequested{};
     }
     if (kind == "tick") {
         return Tick{};
--- a/lib/Steer/TraceWriter.cpp
+++ b/lib/Steer/TraceWriter.cpp
@@ -132,7 +132,7 @@
         return {{"event", "claim-synced"}, {"id", idx(it.id)}, {"state", static_cast<int>(it.state)}};
     }
 
-    json operator()(const StopAsked &) const
+    json operator()(const StopRequested &) const
     {
         return {{"event", "stop"}};
     }
