--- a/include/pepperlug/Model.h
+++ b/include/pepperlug/Model.h
@@ -175,7 +175,7 @@
     void finishAt(TargetId target, HostId host, std::uint64_t incarnation, RequestId id, unsigned attempt,
                   AttemptResult result);
     void forward(HostId host, const Forward &effect);
-    void askLease(HostId host, const AskLease &effect);
+    void askLease(HostId host, const SendLeaseRequest &effect);
     void grantLease(HostId host, const GrantLease &effect);
     void endRequest(HostId host, RequestId id, AttemptResult result, const Refuse *refusal);
     void cancel(HostId host, const CancelAttempt &effect);
--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -259,7 +259,7 @@
     std::string peer; ///< target or host concerned
 };
 
-struct AskLease {
+struct SendLeaseRequest {
     HostId issuer{};
     LeaseRequest request;
     Duration timeout{};
@@ -303,8 +303,8 @@
 struct StopReady {
 };
 
-using Effect = std::variant<AnswerLookup, Dispatch, Forward, CancelAttempt, Finish, FinishStored, Refuse, AskLease,
-                            GrantLease, SyncClaim, Decision, StateChange, StopReady>;
+using Effect = std::variant<AnswerLookup, Dispatch, Forward, CancelAttempt, Finish, FinishStored, Refuse,
+                            SendLeaseRequest, GrantLease, SyncClaim, Decision, StateChange, StopReady>;
 using Effects = std::vector<Effect>;
 
 //===-- The reducer ---------------------------------------------------------===//
--- a/lib/Daemon/EntryEffects.cpp
+++ b/lib/Daemon/EntryEffects.cpp
@@ -333,7 +333,7 @@
     m_pending.erase(it);
 }
 
-void EntryDaemon::Impl::carryOut(const AskLease &effect)
+void EntryDaemon::Impl::carryOut(const SendLeaseRequest &effect)
 {
     const EntryHost &host = m_bundle->hosts[idx(effect.issuer)];
     const std::uint64_t sequence = effect.request.sequence;
--- a/lib/Daemon/EntryImpl.h
+++ b/lib/Daemon/EntryImpl.h
@@ -89,7 +89,7 @@
     void carryOut(const Finish &effect);
     void carryOut(const FinishStored &effect);
     void carryOut(const Refuse &effect);
-    void carryOut(const AskLease &effect);
+    void carryOut(const SendLeaseRequest &effect);
     void carryOut(const GrantLease &effect);
     void carryOut(const SyncClaim &effect);
     void carryOut(const Decision &effect);
--- a/lib/Model/Driver.cpp
+++ b/lib/Model/Driver.cpp
@@ -151,7 +151,7 @@
     } else if (const auto *it = std::get_if<Refuse>(&effect)) {
         endRequest(host, it->id,
                    it->outcome == Outcome::NotRun ? AttemptResult::RemoteNotRun : AttemptResult::RemoteUnknown, it);
-    } else if (const auto *it = std::get_if<AskLease>(&effect)) {
+    } else if (const auto *it = std::get_if<SendLeaseRequest>(&effect)) {
         askLease(host, *it);
     } else if (const auto *it = std::get_if<GrantLease>(&effect)) {
         grantLease(host, *it);
--- a/lib/Model/Messages.cpp
+++ b/lib/Model/Messages.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-void Driver::askLease(HostId holder, const AskLease &effect)
+void Driver::askLease(HostId holder, const SendLeaseRequest &effect)
 {
     const std::uint64_t incarnation = m_hosts[idx(holder)].incarnation;
     sendLease(holder, effect.issuer, [this, holder, issuer = effect.issuer, request = effect.request] {
--- a/lib/Steer/Describe.cpp
+++ b/lib/Steer/Describe.cpp
@@ -65,7 +65,7 @@
                 {"peer", it.peer}};
     }
 
-    nlohmann::json operator()(const AskLease &it) const
+    nlohmann::json operator()(const SendLeaseRequest &it) const
     {
         return {{"effect", "ask-lease"}, {"host", name(it.issuer)}, {"sequence", it.request.sequence}};
     }
--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -204,7 +204,7 @@
         }
         it.isAsking = true;
         it.askedAt = now;
-        out.emplace_back(AskLease{host, makeRequest(it, own, now), exchangeInterval() * 2});
+        out.emplace_back(SendLeaseRequest{host, makeRequest(it, own, now), exchangeInterval() * 2});
     }
 }
 
