--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -240,7 +240,7 @@
 };
 
 /// Passes the answer of an attempt on to the caller.
-struct Finish {
+struct RelayAnswer {
     RequestId id{};
     unsigned attempt = 0;
 };
@@ -303,7 +303,7 @@
 struct StopReady {
 };
 
-using Effect = std::variant<AnswerLookup, Dispatch, Forward, CancelAttempt, Finish, FinishStored, Refuse,
+using Effect = std::variant<AnswerLookup, Dispatch, Forward, CancelAttempt, RelayAnswer, FinishStored, Refuse,
                             SendLeaseRequest, GrantLease, SyncClaim, Decision, StateChange, StopReady>;
 using Effects = std::vector<Effect>;
 
--- a/lib/Daemon/EntryEffects.cpp
+++ b/lib/Daemon/EntryEffects.cpp
@@ -290,7 +290,7 @@
     m_pending.erase(id);
 }
 
-void EntryDaemon::Impl::carryOut(const Finish &effect)
+void EntryDaemon::Impl::carryOut(const RelayAnswer &effect)
 {
     const auto it = m_pending.find(effect.id);
     if (it == m_pending.end()) {
--- a/lib/Daemon/EntryImpl.h
+++ b/lib/Daemon/EntryImpl.h
@@ -86,7 +86,7 @@
     void carryOut(const Dispatch &effect);
     void carryOut(const Forward &effect);
     void carryOut(const CancelAttempt &effect);
-    void carryOut(const Finish &effect);
+    void carryOut(const RelayAnswer &effect);
     void carryOut(const FinishStored &effect);
     void carryOut(const Refuse &effect);
     void carryOut(const SendLeaseRequest &effect);
--- a/lib/Model/Driver.cpp
+++ b/lib/Model/Driver.cpp
@@ -144,7 +144,7 @@
         forward(host, *it);
     } else if (const auto *it = std::get_if<CancelAttempt>(&effect)) {
         cancel(host, *it);
-    } else if (const auto *it = std::get_if<Finish>(&effect)) {
+    } else if (const auto *it = std::get_if<RelayAnswer>(&effect)) {
         endRequest(host, it->id, AttemptResult::Answered, nullptr);
     } else if (const auto *it = std::get_if<FinishStored>(&effect)) {
         endRequest(host, it->id, AttemptResult::Answered, nullptr);
--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -92,7 +92,7 @@
         cancelAttempts(request);
         finishClaim(request, event);
         if (request.phase != Phase::Detached) {
-            m_out->emplace_back(Finish{event.id, event.attempt});
+            m_out->emplace_back(RelayAnswer{event.id, event.attempt});
         }
         const std::string key = request.holdsClaim ? request.info.key : std::string();
         release(request);
--- a/lib/Steer/Describe.cpp
+++ b/lib/Steer/Describe.cpp
@@ -45,7 +45,7 @@
         return {{"effect", "cancel"}, {"request", number(it.id)}, {"attempt", it.attempt}};
     }
 
-    nlohmann::json operator()(const Finish &it) const
+    nlohmann::json operator()(const RelayAnswer &it) const
     {
         return {{"effect", "finish"}, {"request", number(it.id)}, {"attempt", it.attempt}};
     }
--- a/lib/Steer/TraceReplay.cpp
+++ b/lib/Steer/TraceReplay.cpp
@@ -91,7 +91,7 @@
     void countEnds()
     {
         for (const Effect &effect : m_effects) {
-            if (const auto *finish = std::get_if<Finish>(&effect)) {
+            if (const auto *finish = std::get_if<RelayAnswer>(&effect)) {
                 end(idx(finish->id));
             } else if (const auto *stored = std::get_if<FinishStored>(&effect)) {
                 end(idx(stored->id));
--- a/unittests/Steer/PropertyTest.cpp
+++ b/unittests/Steer/PropertyTest.cpp
@@ -245,7 +245,7 @@
             std::erase_if(m_attempts, [&](const OpenAttempt &attempt) {
                 return attempt.id == it->id && attempt.attempt == it->attempt;
             });
-        } else if (const auto *it = std::get_if<Finish>(&effect)) {
+        } else if (const auto *it = std::get_if<RelayAnswer>(&effect)) {
             end(it->id);
         } else if (const auto *it = std::get_if<FinishStored>(&effect)) {
             RC_ASSERT(m_ranKeys.count(m_keys[it->id]) == 1U);
