--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -246,7 +246,7 @@
 };
 
 /// Sends a stored answer of a once-only operation.
-struct FinishStored {
+struct SendStoredAnswer {
     RequestId id{};
     AnswerPtr answer;
 };
@@ -303,7 +303,7 @@
 struct StopReady {
 };
 
-using Effect = std::variant<AnswerLookup, Dispatch, Forward, CancelAttempt, RelayAnswer, FinishStored, Refuse,
+using Effect = std::variant<AnswerLookup, Dispatch, Forward, CancelAttempt, RelayAnswer, SendStoredAnswer, Refuse,
                             SendLeaseRequest, GrantLease, SyncClaim, Decision, StateChange, StopReady>;
 using Effects = std::vector<Effect>;
 
--- a/lib/Daemon/EntryEffects.cpp
+++ b/lib/Daemon/EntryEffects.cpp
@@ -301,7 +301,7 @@
     sendAnswer(effect.id, it->second, answer);
 }
 
-void EntryDaemon::Impl::carryOut(const FinishStored &effect)
+void EntryDaemon::Impl::carryOut(const SendStoredAnswer &effect)
 {
     const auto it = m_pending.find(effect.id);
     if (it == m_pending.end()) {
--- a/lib/Daemon/EntryImpl.h
+++ b/lib/Daemon/EntryImpl.h
@@ -87,7 +87,7 @@
     void carryOut(const Forward &effect);
     void carryOut(const CancelAttempt &effect);
     void carryOut(const RelayAnswer &effect);
-    void carryOut(const FinishStored &effect);
+    void carryOut(const SendStoredAnswer &effect);
     void carryOut(const Refuse &effect);
     void carryOut(const SendLeaseRequest &effect);
     void carryOut(const GrantLease &effect);
--- a/lib/Model/Driver.cpp
+++ b/lib/Model/Driver.cpp
@@ -146,7 +146,7 @@
         cancel(host, *it);
     } else if (const auto *it = std::get_if<RelayAnswer>(&effect)) {
         endRequest(host, it->id, AttemptResult::Answered, nullptr);
-    } else if (const auto *it = std::get_if<FinishStored>(&effect)) {
+    } else if (const auto *it = std::get_if<SendStoredAnswer>(&effect)) {
         endRequest(host, it->id, AttemptResult::Answered, nullptr);
     } else if (const auto *it = std::get_if<Refuse>(&effect)) {
         endRequest(host, it->id,
--- a/lib/Steer/Describe.cpp
+++ b/lib/Steer/Describe.cpp
@@ -50,7 +50,7 @@
         return {{"effect", "finish"}, {"request", number(it.id)}, {"attempt", it.attempt}};
     }
 
-    nlohmann::json operator()(const FinishStored &it) const
+    nlohmann::json operator()(const SendStoredAnswer &it) const
     {
         return {{"effect", "finish-stored"}, {"request", number(it.id)}};
     }
--- a/lib/Steer/OnceFlow.cpp
+++ b/lib/Steer/OnceFlow.cpp
@@ -39,7 +39,7 @@
         return false;
     case ClaimVerdict::Answered:
         if (result.answer) {
-            m_out->emplace_back(FinishStored{request.info.id, result.answer});
+            m_out->emplace_back(SendStoredAnswer{request.info.id, result.answer});
             erase(request.info.id);
         } else {
             refuse(request, Outcome::Unknown, Reason::ClaimUnknown, {});
--- a/lib/Steer/TraceReplay.cpp
+++ b/lib/Steer/TraceReplay.cpp
@@ -93,7 +93,7 @@
         for (const Effect &effect : m_effects) {
             if (const auto *finish = std::get_if<RelayAnswer>(&effect)) {
                 end(idx(finish->id));
-            } else if (const auto *stored = std::get_if<FinishStored>(&effect)) {
+            } else if (const auto *stored = std::get_if<SendStoredAnswer>(&effect)) {
                 end(idx(stored->id));
             } else if (const auto *refuse = std::get_if<Refuse>(&effect)) {
                 end(idx(refuse->id));
--- a/unittests/Steer/PropertyTest.cpp
+++ b/unittests/Steer/PropertyTest.cpp
@@ -247,7 +247,7 @@
             });
         } else if (const auto *it = std::get_if<RelayAnswer>(&effect)) {
             end(it->id);
-        } else if (const auto *it = std::get_if<FinishStored>(&effect)) {
+        } else if (const auto *it = std::get_if<SendStoredAnswer>(&effect)) {
             RC_ASSERT(m_ranKeys.count(m_keys[it->id]) == 1U);
             end(it->id);
         } else if (const auto *it = std::get_if<Refuse>(&effect)) {
