--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -39,7 +39,7 @@
     LocalTarget, ///< a slot of this host's slice
     LeasedZone, ///< a lease on another host's slice
     Neighbour, ///< a host of the same region that said it has room, for a caller of another region
-    Home, ///< the host that keeps the operation's claim
+    Owner, ///< the host that keeps the operation's claim
     Queued, ///< waits for a slot
     Hedge, ///< second attempt of a slow read
     Retry, ///< another attempt after one that failed
--- a/lib/Steer/OnceFlow.cpp
+++ b/lib/Steer/OnceFlow.cpp
@@ -75,7 +75,7 @@
         refuse(request, Outcome::Unknown, Reason::KeyForeign, key.home.host);
         return;
     }
-    startAtHost(request, *home, Reason::Home, true);
+    startAtHost(request, *home, Reason::Owner, true);
 }
 
 void Steering::Impl::on(const ClaimSynced &event)
