--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -56,7 +56,7 @@
     KeyMismatch, ///< the key was used with another request
     KeyExpired, ///< the key's token is older than claims are kept
     KeyForeign, ///< the key belongs to a ledger that is gone
-    HomeUnreachable, ///< the key's home can't be asked
+    OwnerUnreachable, ///< the key's home can't be asked
     ClaimClosed, ///< the operation was closed as not run before
     ClaimUnknown, ///< the operation was dispatched before; its end is not known
     NotReady, ///< no bundle is in force here yet
--- a/lib/Daemon/EntryEffects.cpp
+++ b/lib/Daemon/EntryEffects.cpp
@@ -39,7 +39,7 @@
         return 504;
     case Reason::TargetFailed:
     case Reason::TargetUnreachable:
-    case Reason::HomeUnreachable:
+    case Reason::OwnerUnreachable:
     case Reason::LoopRefused:
         return 502;
     default:
@@ -56,7 +56,7 @@
     case Reason::KeyForeign:
     case Reason::ClaimClosed:
     case Reason::ClaimUnknown:
-    case Reason::HomeUnreachable:
+    case Reason::OwnerUnreachable:
     case Reason::LoopRefused:
         return "claim";
     case Reason::TargetFailed:
--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -51,7 +51,7 @@
 {
     switch (result) {
     case AttemptResult::NotSent:
-        return atHome ? Reason::HomeUnreachable : Reason::TargetUnreachable;
+        return atHome ? Reason::OwnerUnreachable : Reason::TargetUnreachable;
     case AttemptResult::Shed:
         return Reason::Shed;
     case AttemptResult::RemoteNotRun:
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -344,7 +344,7 @@
     case Reason::NotReady:
         return std::chrono::duration_cast<Milliseconds>(m_holder.exchangeInterval()) + MinRetryAfter;
     case Reason::SliceExpired:
-    case Reason::HomeUnreachable:
+    case Reason::OwnerUnreachable:
         return m_bundle->policy.leaseTime;
     default:
         return Milliseconds{};
