--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -136,7 +136,7 @@
     std::optional<ZoneId> callerZone;
     TimePoint deadline{};
     std::optional<HostId> forwardedBy; ///< the entry host that spends a lease on it
-    bool toHome = false; ///< forwarded because this host keeps the key's claim
+    bool toOwner = false; ///< forwarded because this host keeps the key's claim
     bool claimed = false; ///< the home has claimed it; dispatch at most once
     std::string key; ///< Idempotency-Key as given
     std::string requestDigest; ///< of method, path and body, for `once` only
@@ -231,7 +231,7 @@
     unsigned attempt = 0;
     HostId host{};
     TimePoint deadline{};
-    bool toHome = false;
+    bool toOwner = false;
 };
 
 struct CancelAttempt {
--- a/lib/Daemon/EntryEffects.cpp
+++ b/lib/Daemon/EntryEffects.cpp
@@ -212,8 +212,8 @@
     message.body = *pending.body;
     message.budget = std::chrono::ceil<Milliseconds>(left);
     message.key = pending.key;
-    message.toHome = effect.toHome;
-    message.claimed = pending.cls == RouteClass::Once && !effect.toHome;
+    message.toHome = effect.toOwner;
+    message.claimed = pending.cls == RouteClass::Once && !effect.toOwner;
     const EntryHost &host = m_bundle->hosts[idx(effect.host)];
     m_metrics.count("pepperlug_forwards");
     pending.attempts[effect.attempt].peerCall =
--- a/lib/Daemon/EntryPeer.cpp
+++ b/lib/Daemon/EntryPeer.cpp
@@ -78,7 +78,7 @@
     event.callerZone = bundle->findZone(message.callerZone);
     event.deadline = pending.arrivedAt + message.budget;
     event.forwardedBy = sender;
-    event.toHome = message.toHome;
+    event.toOwner = message.toHome;
     event.claimed = message.claimed;
     if (pending.cls == RouteClass::Once) {
         event.key = pending.key;
--- a/lib/Model/Messages.cpp
+++ b/lib/Model/Messages.cpp
@@ -58,8 +58,8 @@
     }
     RequestArrived arrived = request.arrived;
     arrived.forwardedBy = host;
-    arrived.toHome = effect.toHome;
-    arrived.claimed = arrived.cls == RouteClass::Once && !effect.toHome;
+    arrived.toOwner = effect.toOwner;
+    arrived.claimed = arrived.cls == RouteClass::Once && !effect.toOwner;
     const Origin origin{std::nullopt, host, incarnation, effect.id, effect.attempt};
     after(oneWay, [this, to = effect.host, arrived, origin]() mutable {
         arrived.id = makeId<RequestId>(++m_lastId);
--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -120,7 +120,7 @@
 // Gives back what an attempt used besides its target.
 void Steering::Impl::settle(const Request &request, Attempt &attempt)
 {
-    if (attempt.host && !attempt.toHome) {
+    if (attempt.host && !attempt.toOwner) {
         m_holder.ended(*attempt.host, request.info.service);
     }
     if (attempt.isHedge) {
@@ -137,7 +137,7 @@
         return;
     }
     const std::string peer = peerName(attempt);
-    const Reason reason = reasonOf(result, attempt.toHome, request.charge.kind);
+    const Reason reason = reasonOf(result, attempt.toOwner, request.charge.kind);
     if (request.phase == Phase::Detached) {
         finishClaim(request, {request.info.id, attempt.number, result, false, nullptr});
         const std::string key = request.info.key;
@@ -147,7 +147,7 @@
         return;
     }
     // A home that can't be asked, or can't tell, may have run the operation for an earlier request with this key.
-    if (attempt.toHome) {
+    if (attempt.toOwner) {
         const Outcome outcome = result == AttemptResult::RemoteNotRun ? Outcome::NotRun : Outcome::Unknown;
         refuse(request, outcome, result == AttemptResult::RemoteNotRun ? Reason::ClaimClosed : reason, peer);
         return;
--- a/lib/Steer/Describe.cpp
+++ b/lib/Steer/Describe.cpp
@@ -37,7 +37,7 @@
                 {"request", number(it.id)},
                 {"attempt", it.attempt},
                 {"host", name(it.host)},
-                {"to_home", it.toHome}};
+                {"to_home", it.toOwner}};
     }
 
     nlohmann::json operator()(const CancelAttempt &it) const
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -23,7 +23,7 @@
     unsigned number = 0;
     std::optional<TargetId> target;
     std::optional<HostId> host;
-    bool toHome = false;
+    bool toOwner = false;
     bool isHedge = false; ///< counted at the issuer on its own
     bool isRunning = true;
     TimePoint startedAt{};
@@ -118,7 +118,7 @@
     bool leaseIsQuicker(ServiceId service, std::optional<RegionId> region, const std::vector<HostId> &excluded) const;
     bool isHopeless(const Request &request) const;
     void startAtTarget(Request &request, TargetId target, Reason reason);
-    void startAtHost(Request &request, HostId host, Reason reason, bool toHome);
+    void startAtHost(Request &request, HostId host, Reason reason, bool toOwner);
     void refuse(Request &request, Outcome outcome, Reason reason, const std::string &peer);
     Milliseconds retryAfter(const Request &request, Reason reason) const;
     void log(const Request &request, Reason reason, std::optional<TargetId> target, std::optional<HostId> host,
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -29,7 +29,7 @@
 {
     const bool isForeign = info.callerZone && m_bundle->regionOf(*info.callerZone) != m_region;
     const bool fromNeighbour = info.forwardedBy && m_bundle->regionOf(*info.forwardedBy) == m_region;
-    const bool underLease = info.forwardedBy && !info.toHome && !(isForeign && fromNeighbour);
+    const bool underLease = info.forwardedBy && !info.toOwner && !(isForeign && fromNeighbour);
     if (underLease && m_settings.strategy == Strategy::Leases) {
         return {Charge::Kind::Holder, m_bundle->regionOf(*info.forwardedBy), *info.forwardedBy};
     }
@@ -80,7 +80,7 @@
             return std::nullopt;
         }
     }
-    const bool wasPassedOn = request.info.forwardedBy && !request.info.toHome;
+    const bool wasPassedOn = request.info.forwardedBy && !request.info.toOwner;
     if (wasPassedOn) {
         return reason; // the host that it came from decides where it goes next
     }
@@ -308,21 +308,21 @@
     }
 }
 
-void Steering::Impl::startAtHost(Request &request, HostId host, Reason reason, bool toHome)
+void Steering::Impl::startAtHost(Request &request, HostId host, Reason reason, bool toOwner)
 {
     Attempt attempt;
     attempt.number = static_cast<unsigned>(request.attempts.size());
     attempt.host = host;
-    attempt.toHome = toHome;
+    attempt.toOwner = toOwner;
     attempt.startedAt = m_now;
-    if (!toHome) {
+    if (!toOwner) {
         m_holder.started(host, request.info.service);
     }
     request.phase = Phase::Running;
     request.triedHosts.push_back(host);
     request.attempts.push_back(attempt);
     log(request, reason, std::nullopt, host, attempt.number);
-    m_out->emplace_back(Forward{request.info.id, attempt.number, host, request.info.deadline, toHome});
+    m_out->emplace_back(Forward{request.info.id, attempt.number, host, request.info.deadline, toOwner});
 }
 
 Milliseconds Steering::Impl::retryAfter(const Request &request, Reason reason) const
--- a/lib/Steer/TraceReader.cpp
+++ b/lib/Steer/TraceReader.cpp
@@ -66,7 +66,7 @@
     event.callerZone = readOptionalId<ZoneId>(line, "zone");
     event.deadline = readTime(line, "deadline");
     event.forwardedBy = readOptionalId<HostId>(line, "forwarded_by");
-    event.toHome = line.value("to_home", false);
+    event.toOwner = line.value("to_home", false);
     event.claimed = line.value("claimed", false);
     event.key = line.value("key", std::string());
     event.requestDigest = line.value("digest", std::string());
--- a/lib/Steer/TraceWriter.cpp
+++ b/lib/Steer/TraceWriter.cpp
@@ -54,7 +54,7 @@
                 {"zone", optionalId(it.callerZone)},
                 {"deadline", it.deadline.time_since_epoch().count()},
                 {"forwarded_by", optionalId(it.forwardedBy)},
-                {"to_home", it.toHome},
+                {"to_home", it.toOwner},
                 {"claimed", it.claimed},
                 {"key", it.key},
                 {"digest", it.requestDigest}};
