--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -215,7 +215,7 @@
     RequestId id{};
     std::vector<HostId> hosts; ///< in the order in which the caller should try them
     Milliseconds ttl{};
-    std::optional<HomeToken> home; ///< of the first host, if its ledger is known here
+    std::optional<HomeToken> ownerToken; ///< of the first host, if its ledger is known here
     std::uint64_t bundleVersion = 0;
 };
 
--- a/lib/Daemon/EntryEffects.cpp
+++ b/lib/Daemon/EntryEffects.cpp
@@ -119,7 +119,7 @@
     }
     body += R"(],"ttl_ms":)" + std::to_string(effect.ttl.count());
     body += R"(,"version":)" + std::to_string(effect.bundleVersion);
-    body += R"(,"home":")" + (effect.home ? effect.home->text() : std::string()) + "\"}\n";
+    body += R"(,"home":")" + (effect.ownerToken ? effect.ownerToken->text() : std::string()) + "\"}\n";
     it->second.exchange->respond({Ok, {{"Content-Type", "application/json"}}, std::move(body)});
     m_pending.erase(it);
 }
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -172,7 +172,7 @@
     if (isOwnCaller && answer.hosts.front() == *m_self) {
         m_homeLookups[idx(event.service)].add(m_now + answer.ttl, 1);
     }
-    answer.home = homeTokenOf(answer.hosts.front());
+    answer.ownerToken = homeTokenOf(answer.hosts.front());
     answer.bundleVersion = m_bundle->version;
 
     Decision decision;
