--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -342,7 +342,7 @@
 struct ShiftView {
     unsigned level = 0; ///< slots to which that region's callers have grown, over all services; what the cap meters
     unsigned committed = 0; ///< slots lent to that region or in use by its callers; what the link limits
-    unsigned capPart = 0; ///< of the cap for each interval
+    unsigned capShare = 0; ///< of the cap for each interval
     Duration interval{};
     std::optional<unsigned> linkPart;
 };
