--- a/include/pepperlug/Steer.h
+++ b/include/pepperlug/Steer.h
@@ -344,7 +344,7 @@
     unsigned committed = 0; ///< slots lent to that region or in use by its callers; what the link limits
     unsigned capShare = 0; ///< of the cap for each interval
     Duration interval{};
-    std::optional<unsigned> linkPart;
+    std::optional<unsigned> linkShare;
 };
 
 class Steering
