--- a/lib/Steer/Demand.h
+++ b/lib/Steer/Demand.h
@@ -16,7 +16,7 @@
 namespace pepperlug
 {
 
-class Demand
+class DemandEstimator
 {
 public:
     void arrived()
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -198,7 +198,7 @@
     LeaseHolder m_holder;
     SliceGuard m_guard;
     bool m_sliceValid = false;
-    std::vector<Demand> m_demand; ///< by ServiceId
+    std::vector<DemandEstimator> m_demand; ///< by ServiceId
     std::vector<ExpiringCount> m_homeLookups; ///< by ServiceId: answers that name this host to callers of its region
     std::vector<ServiceQueue> m_queues; ///< by ServiceId
     std::vector<bool> m_alive; ///< by HostId, as last told
