--- a/lib/Steer/Demand.h
+++ b/lib/Steer/Demand.h
@@ -19,7 +19,7 @@
 class DemandEstimator
 {
 public:
-    void arrived()
+    void requestArrived()
     {
         ++m_arrived;
         ++m_running;
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -51,7 +51,7 @@
     request.charge = chargeOf(event);
     request.info.deadline = std::min(event.deadline, m_now + m_bundle->services[idx(event.service)].maxDeadline);
     if (request.charge.kind == Charge::Kind::Home) {
-        m_demand[idx(event.service)].arrived();
+        m_demand[idx(event.service)].requestArrived();
         request.isCounted = true;
     }
     m_timers.push({request.info.deadline, event.id, TimerKind::Deadline});
