--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -208,7 +208,7 @@
         return;
     }
     if (it->second.isCounted) {
-        m_demand[idx(it->second.info.service)].ended();
+        m_demand[idx(it->second.info.service)].requestEnded();
     }
     m_requests.erase(it);
 }
--- a/lib/Steer/Demand.h
+++ b/lib/Steer/Demand.h
@@ -25,7 +25,7 @@
         ++m_running;
     }
 
-    void ended()
+    void requestEnded()
     {
         --m_running;
     }
