--- a/lib/Steer/Demand.h
+++ b/lib/Steer/Demand.h
@@ -41,7 +41,7 @@
     }
 
     /// Slots that callers need on the mean.
-    double offered() const
+    double offeredLoad() const
     {
         return m_offered;
     }
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -34,7 +34,7 @@
         // callers.
         const unsigned capacity = localCapacity(service);
         const unsigned takenByOthers = m_issuer.committed(service) - m_issuer.homeUsed(service);
-        const bool hasRoom = m_demand[idx(service)].offered() + takenByOthers < capacity;
+        const bool hasRoom = m_demand[idx(service)].offeredLoad() + takenByOthers < capacity;
         if (from == m_region || !hasRoom) {
             return hasRoom;
         }
@@ -55,7 +55,7 @@
     if (kept < EnoughToMeasure) {
         return 1.0 / m_bundle->policy.lookupsPerSlot;
     }
-    return std::min(1.0, m_demand[idx(service)].offered() / kept);
+    return std::min(1.0, m_demand[idx(service)].offeredLoad() / kept);
 }
 
 // Slots that the host could give to callers, as far as is known here; at least one, so that none is left out for good.
