--- a/lib/Steer/Demand.h
+++ b/lib/Steer/Demand.h
@@ -47,7 +47,7 @@
     }
 
     /// Slots that callers need on the mean, to the nearest whole.
-    unsigned needed() const
+    unsigned meanSlots() const
     {
         return static_cast<unsigned>(std::lround(m_offered));
     }
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -41,7 +41,7 @@
 
 unsigned Steering::Impl::homeNeed(ServiceId service) const
 {
-    return std::min(localCapacity(service), m_demand[idx(service)].needed());
+    return std::min(localCapacity(service), m_demand[idx(service)].meanSlots());
 }
 
 std::vector<unsigned> Steering::Impl::capacities() const
