--- a/lib/Steer/Demand.h
+++ b/lib/Steer/Demand.h
@@ -53,7 +53,7 @@
     }
 
     /// Slots to have so that swings seldom wait.
-    unsigned wanted() const
+    unsigned slotsWithMargin() const
     {
         return static_cast<unsigned>(std::ceil(m_offered + Swing * std::sqrt(m_offered)));
     }
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -147,7 +147,7 @@
     std::vector<unsigned> overflow(m_demand.size(), 0);
     for (std::size_t n = 0; n < overflow.size(); ++n) {
         const ServiceId service = makeId<ServiceId>(n);
-        const unsigned demand = m_demand[n].wanted();
+        const unsigned demand = m_demand[n].slotsWithMargin();
         const unsigned homeUsed = m_issuer.homeUsed(service);
         const unsigned committed = m_issuer.committed(service);
         const unsigned takenByOthers = committed - homeUsed;
@@ -259,7 +259,7 @@
     view.held = m_impl->m_holder.held(service, m_impl->m_now);
     view.heldInUse = m_impl->m_holder.inUse(service);
     view.queued = static_cast<unsigned>(m_impl->m_queues[idx(service)].size());
-    view.demand = m_impl->m_demand[idx(service)].wanted();
+    view.demand = m_impl->m_demand[idx(service)].slotsWithMargin();
     return view;
 }
 
