--- a/lib/Steer/ZoneChoosers.h
+++ b/lib/Steer/HostChoosers.h
@@ -1,7 +1,7 @@
-//===- ZoneChoosers.h - Baselines for the choice of a host -------*- C++ -*-===//
+//===- HostChoosers.h - Baselines for the choice of a host -------*- C++ -*-===//
 //
 // The ways to place a request without leases that measurements compare with.
-// Each is a small type that meets ZoneChooser.
+// Each is a small type that meets HostChooser.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -24,7 +24,7 @@
 };
 
 template <typename T>
-concept ZoneChooser = requires(T chooser, const ChooserInput &input)
+concept HostChooser = requires(T chooser, const ChooserInput &input)
 {
     {
         chooser.choose(input)
@@ -70,6 +70,6 @@
     }
 };
 
-static_assert(ZoneChooser<NearestChooser> && ZoneChooser<RoundRobinChooser> && ZoneChooser<ReportedLoadChooser>);
+static_assert(HostChooser<NearestChooser> && HostChooser<RoundRobinChooser> && HostChooser<ReportedLoadChooser>);
 
 } // namespace pepperlug
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -7,11 +7,11 @@
 #pragma once
 
 #include "Demand.h"
+#include "HostChoosers.h"
 #include "LeaseHolder.h"
 #include "LeaseIssuer.h"
 #include "SliceGuard.h"
 #include "TargetPool.h"
-#include "ZoneChoosers.h"
 
 #include <queue>
 #include <unordered_map>
