--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -125,7 +125,7 @@
     }
     if (attempt.isHedge) {
         attempt.isHedge = false;
-        m_issuer.ended({Charge::Kind::Home, m_region, {}}, request.info.service);
+        m_issuer.ended({Charge::Kind::Local, m_region, {}}, request.info.service);
     }
 }
 
@@ -279,7 +279,7 @@
         return;
     }
     request.hedged = true;
-    m_issuer.started({Charge::Kind::Home, m_region, {}}, service);
+    m_issuer.started({Charge::Kind::Local, m_region, {}}, service);
     startAtTarget(request, *target, Reason::Hedge);
     request.attempts.back().isHedge = true;
 }
--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -115,7 +115,7 @@
             request.info.callerZone = ids.zones(*request.info.callerZone);
         }
         const bool holderIsGone = request.charge.kind == Charge::Kind::Holder && !ids.hosts(request.charge.holder);
-        const bool regionIsGone = request.charge.kind != Charge::Kind::Home && !ids.regions(request.charge.region);
+        const bool regionIsGone = request.charge.kind != Charge::Kind::Local && !ids.regions(request.charge.region);
         if (holderIsGone || regionIsGone) {
             request.isCharged = false;
         } else {
--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -218,7 +218,7 @@
     if (committed(service) >= capacity) {
         return Reason::NoCapacity;
     }
-    if (charge.kind == Charge::Kind::Home) {
+    if (charge.kind == Charge::Kind::Local) {
         return std::nullopt;
     }
     if (m_meters[idx(charge.region)].allowedByLink(1, linkUse(charge.region)) == 0) {
@@ -234,7 +234,7 @@
 {
     ServiceUse &use = m_services[idx(service)];
     switch (charge.kind) {
-    case Charge::Kind::Home:
+    case Charge::Kind::Local:
         ++use.homeUsed;
         break;
     case Charge::Kind::Region:
@@ -251,7 +251,7 @@
 {
     ServiceUse &use = m_services[idx(service)];
     switch (charge.kind) {
-    case Charge::Kind::Home:
+    case Charge::Kind::Local:
         assert(use.homeUsed > 0 && "a home request ends that did not start");
         --use.homeUsed;
         break;
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -18,11 +18,11 @@
 /// Whose capacity a running request uses here.
 struct Charge {
     enum class Kind {
-        Home, ///< a caller of this host's own region
+        Local, ///< a caller of this host's own region
         Region, ///< a caller of another region who came here directly
         Holder, ///< another entry host, under its lease
     };
-    Kind kind = Kind::Home;
+    Kind kind = Kind::Local;
     RegionId region{};
     HostId holder{};
 };
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -36,7 +36,7 @@
     if (isForeign && m_settings.strategy == Strategy::Leases) {
         return {Charge::Kind::Region, m_bundle->regionOf(*info.callerZone), {}};
     }
-    return {Charge::Kind::Home, m_region, {}};
+    return {Charge::Kind::Local, m_region, {}};
 }
 
 void Steering::Impl::on(const RequestArrived &event)
@@ -50,7 +50,7 @@
     }
     request.charge = chargeOf(event);
     request.info.deadline = std::min(event.deadline, m_now + m_bundle->services[idx(event.service)].maxDeadline);
-    if (request.charge.kind == Charge::Kind::Home) {
+    if (request.charge.kind == Charge::Kind::Local) {
         m_demand[idx(event.service)].requestArrived();
         request.isCounted = true;
     }
@@ -101,7 +101,7 @@
     }
     const ServiceId service = request.info.service;
     const unsigned capacity = localCapacity(service);
-    if (request.charge.kind == Charge::Kind::Home && m_issuer.committed(service) >= capacity) {
+    if (request.charge.kind == Charge::Kind::Local && m_issuer.committed(service) >= capacity) {
         return Reason::NoCapacity;
     }
     const std::optional<TargetId> target = m_pool.choose(service, request.triedTargets, m_now, m_random);
@@ -195,7 +195,7 @@
 std::deque<RequestId> &Steering::Impl::queueOf(const Request &request)
 {
     ServiceQueue &queues = m_queues[idx(request.info.service)];
-    return request.charge.kind == Charge::Kind::Home ? queues.home : queues.foreign[request.charge.region];
+    return request.charge.kind == Charge::Kind::Local ? queues.home : queues.foreign[request.charge.region];
 }
 
 bool Steering::Impl::noneWaitBefore(const Request &request)
