--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -374,8 +374,8 @@
     return {want.service, amount, spare(service, capacity, homeNeed)};
 }
 
-LeaseGrant LeaseIssuer::answer(HostId holder, const LeaseRequest &request, const std::vector<unsigned> &capacity,
-                               const std::vector<unsigned> &homeNeed, TimePoint now)
+LeaseGrant LeaseIssuer::handleRequest(HostId holder, const LeaseRequest &request, const std::vector<unsigned> &capacity,
+                                      const std::vector<unsigned> &homeNeed, TimePoint now)
 {
     assert(m_bundle != nullptr && "a lease is asked for before a bundle is in force");
     LeaseGrant reply;
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -37,8 +37,8 @@
     void remap(const IdMap &ids);
 
     /// Answers a holder. `capacity` is by service; `homeNeed` is what this host keeps for its own callers.
-    LeaseGrant answer(HostId holder, const LeaseRequest &request, const std::vector<unsigned> &capacity,
-                      const std::vector<unsigned> &homeNeed, TimePoint now);
+    LeaseGrant handleRequest(HostId holder, const LeaseRequest &request, const std::vector<unsigned> &capacity,
+                             const std::vector<unsigned> &homeNeed, TimePoint now);
 
     /// Whether one more request may run; grows the part of a region of direct callers if cap and link allow.
     /// Returns the reason of the refusal, nothing if admitted. Call started() when it then runs.
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -69,7 +69,7 @@
     }
     const LeaseRequest &request = event.request;
     m_holder.heard(event.holder, {request.configIndex, request.leaving, request.ledgerId, request.ledgerAge}, m_now);
-    LeaseGrant grant = m_issuer.answer(event.holder, event.request, capacities(), homeNeeds(), m_now);
+    LeaseGrant grant = m_issuer.handleRequest(event.holder, event.request, capacities(), homeNeeds(), m_now);
     const OwnState own = ownState();
     grant.configIndex = own.configIndex;
     grant.leaving = own.isLeaving;
