--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -279,7 +279,7 @@
         return;
     }
     request.hedged = true;
-    m_issuer.started({Charge::Kind::Local, m_region, {}}, service);
+    m_issuer.startUse({Charge::Kind::Local, m_region, {}}, service);
     startAtTarget(request, *target, Reason::Hedge);
     request.attempts.back().isHedge = true;
 }
--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -230,7 +230,7 @@
     return std::nullopt;
 }
 
-void LeaseIssuer::started(const Charge &charge, ServiceId service)
+void LeaseIssuer::startUse(const Charge &charge, ServiceId service)
 {
     ServiceUse &use = m_services[idx(service)];
     switch (charge.kind) {
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -41,9 +41,9 @@
                              const std::vector<unsigned> &homeNeed, TimePoint now);
 
     /// Whether one more request may run; grows the part of a region of direct callers if cap and link allow.
-    /// Returns the reason of the refusal, nothing if admitted. Call started() when it then runs.
+    /// Returns the reason of the refusal, nothing if admitted. Call startUse() when it then runs.
     std::optional<Reason> admit(const Charge &charge, ServiceId service, unsigned capacity, TimePoint now);
-    void started(const Charge &charge, ServiceId service);
+    void startUse(const Charge &charge, ServiceId service);
     void ended(const Charge &charge, ServiceId service);
     /// Notes a look-up answer that sends a caller of another region here, who will use about so many slots. Returns
     /// false, and notes nothing, if cap or link do not allow it.
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -112,7 +112,7 @@
         if (const auto reason = m_issuer.admit(request.charge, service, capacity, m_now)) {
             return reason;
         }
-        m_issuer.started(request.charge, service);
+        m_issuer.startUse(request.charge, service);
         request.isCharged = true;
     }
     startAtTarget(request, *target, Reason::LocalTarget);
