--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -125,7 +125,7 @@
     }
     if (attempt.isHedge) {
         attempt.isHedge = false;
-        m_issuer.ended({Charge::Kind::Local, m_region, {}}, request.info.service);
+        m_issuer.endUse({Charge::Kind::Local, m_region, {}}, request.info.service);
     }
 }
 
@@ -197,7 +197,7 @@
 {
     if (request.isCharged) {
         request.isCharged = false;
-        m_issuer.ended(request.charge, request.info.service);
+        m_issuer.endUse(request.charge, request.info.service);
     }
 }
 
--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -247,7 +247,7 @@
     }
 }
 
-void LeaseIssuer::ended(const Charge &charge, ServiceId service)
+void LeaseIssuer::endUse(const Charge &charge, ServiceId service)
 {
     ServiceUse &use = m_services[idx(service)];
     switch (charge.kind) {
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -44,7 +44,7 @@
     /// Returns the reason of the refusal, nothing if admitted. Call startUse() when it then runs.
     std::optional<Reason> admit(const Charge &charge, ServiceId service, unsigned capacity, TimePoint now);
     void startUse(const Charge &charge, ServiceId service);
-    void ended(const Charge &charge, ServiceId service);
+    void endUse(const Charge &charge, ServiceId service);
     /// Notes a look-up answer that sends a caller of another region here, who will use about so many slots. Returns
     /// false, and notes nothing, if cap or link do not allow it.
     bool lookedUp(RegionId from, ServiceId service, double slots, TimePoint expires, TimePoint now);
