--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -267,7 +267,7 @@
     }
 }
 
-bool LeaseIssuer::lookedUp(RegionId from, ServiceId service, double slots, TimePoint expires, TimePoint now)
+bool LeaseIssuer::admitLookup(RegionId from, ServiceId service, double slots, TimePoint expires, TimePoint now)
 {
     RegionUse &use = m_services[idx(service)].regions[idx(from)];
     const auto needed = static_cast<unsigned>(std::ceil(use.lookups.total() + slots));
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -47,7 +47,7 @@
     void endUse(const Charge &charge, ServiceId service);
     /// Notes a look-up answer that sends a caller of another region here, who will use about so many slots. Returns
     /// false, and notes nothing, if cap or link do not allow it.
-    bool lookedUp(RegionId from, ServiceId service, double slots, TimePoint expires, TimePoint now);
+    bool admitLookup(RegionId from, ServiceId service, double slots, TimePoint expires, TimePoint now);
 
     /// Lets leases and look-up answers run out.
     void refresh(TimePoint now);
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -38,7 +38,7 @@
         if (from == m_region || !hasRoom) {
             return hasRoom;
         }
-        return m_issuer.lookedUp(from, service, slotsPerLookup(service), m_now + m_bundle->policy.lookupTtl, m_now);
+        return m_issuer.admitLookup(from, service, slotsPerLookup(service), m_now + m_bundle->policy.lookupTtl, m_now);
     }
     if (from == m_bundle->regionOf(host) && !m_holder.lastHeard(host)) {
         return true; // nothing is known against it
