--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -114,16 +114,16 @@
 unsigned LeaseIssuer::committed(ServiceId service) const
 {
     const ServiceUse &use = m_services[idx(service)];
-    unsigned sum = use.homeUsed;
+    unsigned sum = use.localUsed;
     for (const RegionUse &region : use.regions) {
         sum += committed(region);
     }
     return sum;
 }
 
-unsigned LeaseIssuer::homeUsed(ServiceId service) const
+unsigned LeaseIssuer::localUsed(ServiceId service) const
 {
-    return m_services[idx(service)].homeUsed;
+    return m_services[idx(service)].localUsed;
 }
 
 unsigned LeaseIssuer::heldBy(RegionId region, ServiceId service) const
@@ -142,8 +142,8 @@
 
 int LeaseIssuer::margin(ServiceId service, unsigned capacity, unsigned homeNeed) const
 {
-    const unsigned homeUsed = m_services[idx(service)].homeUsed;
-    const unsigned kept = homeNeed > homeUsed ? homeNeed - homeUsed : 0;
+    const unsigned localUsed = m_services[idx(service)].localUsed;
+    const unsigned kept = homeNeed > localUsed ? homeNeed - localUsed : 0;
     return static_cast<int>(capacity) - static_cast<int>(committed(service) + kept);
 }
 
@@ -235,7 +235,7 @@
     ServiceUse &use = m_services[idx(service)];
     switch (charge.kind) {
     case Charge::Kind::Local:
-        ++use.homeUsed;
+        ++use.localUsed;
         break;
     case Charge::Kind::Region:
         ++use.regions[idx(charge.region)].usedDirectly;
@@ -252,8 +252,8 @@
     ServiceUse &use = m_services[idx(service)];
     switch (charge.kind) {
     case Charge::Kind::Local:
-        assert(use.homeUsed > 0 && "a home request ends that did not start");
-        --use.homeUsed;
+        assert(use.localUsed > 0 && "a home request ends that did not start");
+        --use.localUsed;
         break;
     case Charge::Kind::Region:
         assert(use.regions[idx(charge.region)].usedDirectly > 0 && "a direct request ends that did not start");
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -53,7 +53,7 @@
     void refresh(TimePoint now);
 
     unsigned committed(ServiceId service) const;
-    unsigned homeUsed(ServiceId service) const;
+    unsigned localUsed(ServiceId service) const;
     unsigned lent(ServiceId service) const;
     /// Slots that callers of another region hold here, by lease or by use.
     unsigned heldBy(RegionId region, ServiceId service) const;
@@ -88,7 +88,7 @@
     struct ServiceUse {
         std::map<HostId, Holder> holders;
         std::vector<RegionUse> regions; ///< by RegionId; the own region counts its holders only
-        unsigned homeUsed = 0;
+        unsigned localUsed = 0;
     };
 
     struct Arrival {
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -33,7 +33,7 @@
         // By mean demand, not by what is free this moment: a full slice with a short queue is no reason to move
         // callers.
         const unsigned capacity = localCapacity(service);
-        const unsigned takenByOthers = m_issuer.committed(service) - m_issuer.homeUsed(service);
+        const unsigned takenByOthers = m_issuer.committed(service) - m_issuer.localUsed(service);
         const bool hasRoom = m_demand[idx(service)].offeredLoad() + takenByOthers < capacity;
         if (from == m_region || !hasRoom) {
             return hasRoom;
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -186,7 +186,7 @@
 Duration Steering::Impl::homeWait(ServiceId service) const
 {
     const unsigned committed = m_issuer.committed(service);
-    const unsigned takenByOthers = committed - m_issuer.homeUsed(service);
+    const unsigned takenByOthers = committed - m_issuer.localUsed(service);
     const unsigned capacity = localCapacity(service);
     const unsigned slots = capacity > takenByOthers ? capacity - takenByOthers : 0;
     return queueWait(service, m_queues[idx(service)].home.size(), slots);
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -148,9 +148,9 @@
     for (std::size_t n = 0; n < overflow.size(); ++n) {
         const ServiceId service = makeId<ServiceId>(n);
         const unsigned demand = m_demand[n].slotsWithMargin();
-        const unsigned homeUsed = m_issuer.homeUsed(service);
+        const unsigned localUsed = m_issuer.localUsed(service);
         const unsigned committed = m_issuer.committed(service);
-        const unsigned takenByOthers = committed - homeUsed;
+        const unsigned takenByOthers = committed - localUsed;
         const unsigned capacity = localCapacity(service);
         const unsigned room = capacity > takenByOthers ? capacity - takenByOthers : 0;
         overflow[n] = demand > room ? demand - room : 0;
