--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -126,7 +126,7 @@
     return m_services[idx(service)].localUsed;
 }
 
-unsigned LeaseIssuer::heldBy(RegionId region, ServiceId service) const
+unsigned LeaseIssuer::heldByRegion(RegionId region, ServiceId service) const
 {
     return taken(m_services[idx(service)].regions[idx(region)]);
 }
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -56,7 +56,7 @@
     unsigned localUsed(ServiceId service) const;
     unsigned lent(ServiceId service) const;
     /// Slots that callers of another region hold here, by lease or by use.
-    unsigned heldBy(RegionId region, ServiceId service) const;
+    unsigned heldByRegion(RegionId region, ServiceId service) const;
     ShiftView shift(RegionId from) const;
     /// Slots that could still be lent, after what home needs.
     unsigned spare(ServiceId service, unsigned capacity, unsigned homeNeed) const;
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -230,7 +230,7 @@
     std::size_t limit = std::min(m_bundle->services[idx(service)].queue, useful);
     Duration wait = homeWait(service);
     if (request.charge.kind == Charge::Kind::Region) {
-        const unsigned held = m_issuer.heldBy(request.charge.region, service);
+        const unsigned held = m_issuer.heldByRegion(request.charge.region, service);
         // Behind own callers who wait already, the wait has no bound.
         limit = m_queues[idx(service)].home.empty() ? std::min<std::size_t>(limit, held * ForeignTurns) : 0;
         wait = queueWait(service, queue.size(), held);
