--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -172,7 +172,7 @@
 
 // A host that was restarted does not know what it lent before. Holders' old leases are refused on arrival, but their
 // callers may still come on old look-ups; so it waits until the longest old lease has surely run out.
-bool LeaseIssuer::mayLend(TimePoint now) const
+bool LeaseIssuer::canLend(TimePoint now) const
 {
     return m_bundle != nullptr && now >= m_started + m_reserveTime;
 }
@@ -355,7 +355,7 @@
         lentNow += static_cast<int>(it.reserved);
     }
     const auto pool = static_cast<unsigned>(std::max(0, lentNow + margin(service, capacity, homeNeed)));
-    const unsigned target = mayLend(now) ? std::min(want.want, fairShare(use, id, pool, now)) : 0;
+    const unsigned target = canLend(now) ? std::min(want.want, fairShare(use, id, pool, now)) : 0;
     unsigned amount = std::min(kept, target);
     if (target > kept) {
         unsigned growth = std::min(target - kept, room);
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -60,7 +60,7 @@
     ShiftView shift(RegionId from) const;
     /// Slots that could still be lent, after what home needs.
     unsigned spare(ServiceId service, unsigned capacity, unsigned homeNeed) const;
-    bool mayLend(TimePoint now) const;
+    bool canLend(TimePoint now) const;
 
 private:
     struct Holder {
