--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -159,7 +159,7 @@
     // Steering.cpp
     void pollLeases();
     OwnState ownState() const;
-    unsigned homeNeed(ServiceId service) const;
+    unsigned localNeed(ServiceId service) const;
     unsigned localCapacity(ServiceId service) const;
     std::vector<unsigned> capacities() const;
     std::vector<unsigned> homeNeeds() const;
--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -140,16 +140,16 @@
     return sum;
 }
 
-int LeaseIssuer::margin(ServiceId service, unsigned capacity, unsigned homeNeed) const
+int LeaseIssuer::margin(ServiceId service, unsigned capacity, unsigned localNeed) const
 {
     const unsigned localUsed = m_services[idx(service)].localUsed;
-    const unsigned kept = homeNeed > localUsed ? homeNeed - localUsed : 0;
+    const unsigned kept = localNeed > localUsed ? localNeed - localUsed : 0;
     return static_cast<int>(capacity) - static_cast<int>(committed(service) + kept);
 }
 
-unsigned LeaseIssuer::spare(ServiceId service, unsigned capacity, unsigned homeNeed) const
+unsigned LeaseIssuer::spare(ServiceId service, unsigned capacity, unsigned localNeed) const
 {
-    return static_cast<unsigned>(std::max(0, margin(service, capacity, homeNeed)));
+    return static_cast<unsigned>(std::max(0, margin(service, capacity, localNeed)));
 }
 
 unsigned LeaseIssuer::linkUse(RegionId region) const
@@ -329,7 +329,7 @@
 }
 
 ServiceGrant LeaseIssuer::grant(HostId id, const LeaseRequest &request, const ServiceWant &want, unsigned capacity,
-                                unsigned homeNeed, TimePoint now)
+                                unsigned localNeed, TimePoint now)
 {
     const ServiceId service = makeId<ServiceId>(want.service);
     ServiceUse &use = m_services[want.service];
@@ -349,12 +349,12 @@
     holder.wantedAt = now;
     setReserved(service, id, holder, kept);
 
-    const unsigned room = spare(service, capacity, homeNeed);
+    const unsigned room = spare(service, capacity, localNeed);
     int lentNow = 0;
     for (const auto &[other, it] : use.holders) {
         lentNow += static_cast<int>(it.reserved);
     }
-    const auto pool = static_cast<unsigned>(std::max(0, lentNow + margin(service, capacity, homeNeed)));
+    const auto pool = static_cast<unsigned>(std::max(0, lentNow + margin(service, capacity, localNeed)));
     const unsigned target = canLend(now) ? std::min(want.want, fairShare(use, id, pool, now)) : 0;
     unsigned amount = std::min(kept, target);
     if (target > kept) {
@@ -371,11 +371,11 @@
     }
     setReserved(service, id, holder, std::max(kept, amount));
     holder.expires = now + m_reserveTime;
-    return {want.service, amount, spare(service, capacity, homeNeed)};
+    return {want.service, amount, spare(service, capacity, localNeed)};
 }
 
 LeaseGrant LeaseIssuer::handleRequest(HostId holder, const LeaseRequest &request, const std::vector<unsigned> &capacity,
-                                      const std::vector<unsigned> &homeNeed, TimePoint now)
+                                      const std::vector<unsigned> &localNeed, TimePoint now)
 {
     assert(m_bundle != nullptr && "a lease is asked for before a bundle is in force");
     LeaseGrant reply;
@@ -383,7 +383,7 @@
     reply.duration = std::chrono::duration_cast<std::chrono::microseconds>(m_leaseTime);
     for (const ServiceWant &want : request.wants) {
         if (want.service < m_services.size()) {
-            reply.grants.push_back(grant(holder, request, want, capacity[want.service], homeNeed[want.service], now));
+            reply.grants.push_back(grant(holder, request, want, capacity[want.service], localNeed[want.service], now));
         }
     }
     return reply;
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -36,9 +36,9 @@
     /// Moves what is known to the ids of another bundle; applyBundle must follow.
     void remap(const IdMap &ids);
 
-    /// Answers a holder. `capacity` is by service; `homeNeed` is what this host keeps for its own callers.
+    /// Answers a holder. `capacity` is by service; `localNeed` is what this host keeps for its own callers.
     LeaseGrant handleRequest(HostId holder, const LeaseRequest &request, const std::vector<unsigned> &capacity,
-                             const std::vector<unsigned> &homeNeed, TimePoint now);
+                             const std::vector<unsigned> &localNeed, TimePoint now);
 
     /// Whether one more request may run; grows the part of a region of direct callers if cap and link allow.
     /// Returns the reason of the refusal, nothing if admitted. Call startUse() when it then runs.
@@ -59,7 +59,7 @@
     unsigned heldByRegion(RegionId region, ServiceId service) const;
     ShiftView shift(RegionId from) const;
     /// Slots that could still be lent, after what home needs.
-    unsigned spare(ServiceId service, unsigned capacity, unsigned homeNeed) const;
+    unsigned spare(ServiceId service, unsigned capacity, unsigned localNeed) const;
     bool canLend(TimePoint now) const;
 
 private:
@@ -106,12 +106,12 @@
     unsigned linkUse(RegionId region) const;
     unsigned levelOf(RegionId region) const;
     /// Slots left after all that is committed and that home still needs; below zero where too much is lent.
-    int margin(ServiceId service, unsigned capacity, unsigned homeNeed) const;
+    int margin(ServiceId service, unsigned capacity, unsigned localNeed) const;
     /// Raises the level of direct callers to `slots` if cap and link allow.
     bool raiseLevel(RegionId region, ServiceId service, unsigned slots, TimePoint now);
     void setReserved(ServiceId service, HostId id, Holder &holder, unsigned amount);
     ServiceGrant grant(HostId id, const LeaseRequest &request, const ServiceWant &want, unsigned capacity,
-                       unsigned homeNeed, TimePoint now);
+                       unsigned localNeed, TimePoint now);
     unsigned fairShare(const ServiceUse &use, HostId id, unsigned pool, TimePoint now) const;
 
     const Bundle *m_bundle = nullptr;
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -64,7 +64,7 @@
     if (host != *m_self) {
         return m_holder.spare(host, service) + 1;
     }
-    return m_issuer.spare(service, localCapacity(service), homeNeed(service)) + 1;
+    return m_issuer.spare(service, localCapacity(service), localNeed(service)) + 1;
 }
 
 // Hosts that may be named for a caller, nearest first. Those that are equally near come in random order, weighted by
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -39,7 +39,7 @@
     return m_sliceValid ? m_pool.capacity(service) : 0;
 }
 
-unsigned Steering::Impl::homeNeed(ServiceId service) const
+unsigned Steering::Impl::localNeed(ServiceId service) const
 {
     return std::min(localCapacity(service), m_demand[idx(service)].meanSlots());
 }
@@ -57,7 +57,7 @@
 {
     std::vector<unsigned> all(m_bundle->services.size());
     for (std::size_t n = 0; n < all.size(); ++n) {
-        all[n] = homeNeed(makeId<ServiceId>(n));
+        all[n] = localNeed(makeId<ServiceId>(n));
     }
     return all;
 }
