--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -162,7 +162,7 @@
     unsigned localNeed(ServiceId service) const;
     unsigned localCapacity(ServiceId service) const;
     std::vector<unsigned> capacities() const;
-    std::vector<unsigned> homeNeeds() const;
+    std::vector<unsigned> localNeeds() const;
     void runTimers();
     void checkStop();
     void checkPeers();
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -53,7 +53,7 @@
     return all;
 }
 
-std::vector<unsigned> Steering::Impl::homeNeeds() const
+std::vector<unsigned> Steering::Impl::localNeeds() const
 {
     std::vector<unsigned> all(m_bundle->services.size());
     for (std::size_t n = 0; n < all.size(); ++n) {
@@ -69,7 +69,7 @@
     }
     const LeaseRequest &request = event.request;
     m_holder.heard(event.holder, {request.configIndex, request.leaving, request.ledgerId, request.ledgerAge}, m_now);
-    LeaseGrant grant = m_issuer.handleRequest(event.holder, event.request, capacities(), homeNeeds(), m_now);
+    LeaseGrant grant = m_issuer.handleRequest(event.holder, event.request, capacities(), localNeeds(), m_now);
     const OwnState own = ownState();
     grant.configIndex = own.configIndex;
     grant.leaving = own.isLeaving;
