--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -147,7 +147,7 @@
     return wants;
 }
 
-LeaseRequest LeaseHolder::makeRequest(Peer &peer, const OwnState &own, TimePoint now)
+LeaseRequest LeaseHolder::makeRequest(Peer &peer, const HostStatus &own, TimePoint now)
 {
     LeaseRequest request;
     request.sequence = ++peer.sequence;
@@ -183,7 +183,7 @@
     return false;
 }
 
-void LeaseHolder::poll(const std::vector<unsigned> &overflow, const OwnState &own, TimePoint now, Effects &out)
+void LeaseHolder::poll(const std::vector<unsigned> &overflow, const HostStatus &own, TimePoint now, Effects &out)
 {
     const Duration interval = isShort(overflow, now) ? exchangeInterval() / HurriedExchanges : exchangeInterval();
     const bool anyDue =
@@ -246,7 +246,7 @@
     }
 }
 
-void LeaseHolder::heard(HostId host, const OwnState &said, TimePoint now)
+void LeaseHolder::heard(HostId host, const HostStatus &said, TimePoint now)
 {
     Peer &it = peer(host);
     const std::uint64_t index = std::max(it.said.configIndex, said.configIndex);
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -13,7 +13,7 @@
 {
 
 /// What a host says of itself with every exchange.
-struct OwnState {
+struct HostStatus {
     std::uint64_t configIndex = 0;
     bool isLeaving = false;
     std::string ledgerId;
@@ -31,14 +31,14 @@
     void remap(const IdMap &ids);
 
     /// Asks each issuer whose turn has come. `overflow` is, by service, the demand that the own slice can't hold.
-    void poll(const std::vector<unsigned> &overflow, const OwnState &own, TimePoint now, Effects &out);
+    void poll(const std::vector<unsigned> &overflow, const HostStatus &own, TimePoint now, Effects &out);
     /// Makes it every issuer's turn at the next poll().
     void askSoon();
     /// Takes a grant; an answer to any but the last request is dropped. Returns whether it was taken.
     bool granted(HostId issuer, const LeaseGrant &grant, TimePoint now);
     void failed(HostId issuer, std::uint64_t sequence);
     /// Notes that a request of that host arrived.
-    void heard(HostId peer, const OwnState &said, TimePoint now);
+    void heard(HostId peer, const HostStatus &said, TimePoint now);
 
     bool canUse(HostId issuer, ServiceId service, TimePoint now) const;
     /// The nearest issuer with room, seen from this host; only in `region` if given.
@@ -88,7 +88,7 @@
         bool isAsking = false;
         TimePoint askedAt{};
         std::optional<TimePoint> lastHeard;
-        OwnState said;
+        HostStatus said;
     };
 
     Peer &peer(HostId host);
@@ -97,7 +97,7 @@
     bool isDue(const Peer &peer, Duration interval, TimePoint now) const;
     bool isShort(const std::vector<unsigned> &overflow, TimePoint now) const;
     std::vector<unsigned> shareWants(ServiceId service, unsigned overflow, TimePoint now) const;
-    LeaseRequest makeRequest(Peer &peer, const OwnState &own, TimePoint now);
+    LeaseRequest makeRequest(Peer &peer, const HostStatus &own, TimePoint now);
 
     std::uint64_t m_incarnation;
     HostId m_self{};
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -70,7 +70,7 @@
     const LeaseRequest &request = event.request;
     m_holder.heard(event.holder, {request.configIndex, request.leaving, request.ledgerId, request.ledgerAge}, m_now);
     LeaseGrant grant = m_issuer.handleRequest(event.holder, event.request, capacities(), localNeeds(), m_now);
-    const OwnState own = ownState();
+    const HostStatus own = ownState();
     grant.configIndex = own.configIndex;
     grant.leaving = own.isLeaving;
     grant.ledgerId = own.ledgerId;
@@ -158,7 +158,7 @@
     m_holder.poll(overflow, ownState(), m_now, *m_out);
 }
 
-OwnState Steering::Impl::ownState() const
+HostStatus Steering::Impl::ownState() const
 {
     const HomeToken token = m_ledger.token(m_now);
     const bool isLeaving = m_stopAskedAt.has_value() || isDrainedHost(*m_self);
