--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -208,7 +208,7 @@
     }
 }
 
-void LeaseHolder::askSoon()
+void LeaseHolder::makeAllDue()
 {
     for (auto &[id, it] : m_peers) {
         it.askedAt = {};
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -33,7 +33,7 @@
     /// Asks each issuer whose turn has come. `overflow` is, by service, the demand that the own slice can't hold.
     void poll(const std::vector<unsigned> &overflow, const HostStatus &own, TimePoint now, Effects &out);
     /// Makes it every issuer's turn at the next poll().
-    void askSoon();
+    void makeAllDue();
     /// Takes a grant; an answer to any but the last request is dropped. Returns whether it was taken.
     bool granted(HostId issuer, const LeaseGrant &grant, TimePoint now);
     void failed(HostId issuer, std::uint64_t sequence);
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -110,7 +110,7 @@
         return;
     }
     m_stopAskedAt = m_now;
-    m_holder.askSoon();
+    m_holder.makeAllDue();
     tell("stop asked", m_settings.hostName);
 }
 
