--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -215,7 +215,7 @@
     }
 }
 
-bool LeaseHolder::granted(HostId issuer, const LeaseGrant &grant, TimePoint now)
+bool LeaseHolder::handleGrant(HostId issuer, const LeaseGrant &grant, TimePoint now)
 {
     Peer &it = peer(issuer);
     if (!it.isAsking || grant.sequence != it.sequence) {
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -35,7 +35,7 @@
     /// Makes it every issuer's turn at the next poll().
     void makeAllDue();
     /// Takes a grant; an answer to any but the last request is dropped. Returns whether it was taken.
-    bool granted(HostId issuer, const LeaseGrant &grant, TimePoint now);
+    bool handleGrant(HostId issuer, const LeaseGrant &grant, TimePoint now);
     void failed(HostId issuer, std::uint64_t sequence);
     /// Notes that a request of that host arrived.
     void heard(HostId peer, const HostStatus &said, TimePoint now);
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -80,7 +80,8 @@
 
 void Steering::Impl::on(const LeaseGranted &event)
 {
-    if (!m_self || idx(event.issuer) >= m_bundle->hosts.size() || !m_holder.granted(event.issuer, event.grant, m_now)) {
+    if (!m_self || idx(event.issuer) >= m_bundle->hosts.size()
+        || !m_holder.handleGrant(event.issuer, event.grant, m_now)) {
         return;
     }
     for (std::size_t n = 0; n < m_queues.size(); ++n) {
