--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -238,7 +238,7 @@
     return true;
 }
 
-void LeaseHolder::failed(HostId issuer, std::uint64_t sequence)
+void LeaseHolder::handleFailure(HostId issuer, std::uint64_t sequence)
 {
     Peer &it = peer(issuer);
     if (it.isAsking && sequence == it.sequence) {
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -36,7 +36,7 @@
     void makeAllDue();
     /// Takes a grant; an answer to any but the last request is dropped. Returns whether it was taken.
     bool handleGrant(HostId issuer, const LeaseGrant &grant, TimePoint now);
-    void failed(HostId issuer, std::uint64_t sequence);
+    void handleFailure(HostId issuer, std::uint64_t sequence);
     /// Notes that a request of that host arrived.
     void heard(HostId peer, const HostStatus &said, TimePoint now);
 
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -92,7 +92,7 @@
 void Steering::Impl::on(const LeaseFailed &event)
 {
     if (m_self && idx(event.issuer) < m_bundle->hosts.size()) {
-        m_holder.failed(event.issuer, event.sequence);
+        m_holder.handleFailure(event.issuer, event.sequence);
     }
 }
 
