--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -222,7 +222,7 @@
         return false;
     }
     it.isAsking = false;
-    heard(issuer, {grant.configIndex, grant.leaving, grant.ledgerId, grant.ledgerAge}, now);
+    recordContact(issuer, {grant.configIndex, grant.leaving, grant.ledgerId, grant.ledgerAge}, now);
     const auto valid = std::chrono::duration_cast<Duration>(grant.duration * (1 - m_drift));
     for (const ServiceGrant &service : grant.grants) {
         if (service.service >= it.services.size()) {
@@ -246,7 +246,7 @@
     }
 }
 
-void LeaseHolder::heard(HostId host, const HostStatus &said, TimePoint now)
+void LeaseHolder::recordContact(HostId host, const HostStatus &said, TimePoint now)
 {
     Peer &it = peer(host);
     const std::uint64_t index = std::max(it.said.configIndex, said.configIndex);
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -38,7 +38,7 @@
     bool handleGrant(HostId issuer, const LeaseGrant &grant, TimePoint now);
     void handleFailure(HostId issuer, std::uint64_t sequence);
     /// Notes that a request of that host arrived.
-    void heard(HostId peer, const HostStatus &said, TimePoint now);
+    void recordContact(HostId peer, const HostStatus &said, TimePoint now);
 
     bool canUse(HostId issuer, ServiceId service, TimePoint now) const;
     /// The nearest issuer with room, seen from this host; only in `region` if given.
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -68,7 +68,8 @@
         return;
     }
     const LeaseRequest &request = event.request;
-    m_holder.heard(event.holder, {request.configIndex, request.leaving, request.ledgerId, request.ledgerAge}, m_now);
+    m_holder.recordContact(event.holder, {request.configIndex, request.leaving, request.ledgerId, request.ledgerAge},
+                           m_now);
     LeaseGrant grant = m_issuer.handleRequest(event.holder, event.request, capacities(), localNeeds(), m_now);
     const HostStatus own = ownState();
     grant.configIndex = own.configIndex;
