--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -260,8 +260,8 @@
     return room(issuer, service, now) > 0;
 }
 
-std::optional<HostId> LeaseHolder::choose(ServiceId service, std::optional<RegionId> region,
-                                          const std::vector<HostId> &excluded, TimePoint now) const
+std::optional<HostId> LeaseHolder::chooseLease(ServiceId service, std::optional<RegionId> region,
+                                               const std::vector<HostId> &excluded, TimePoint now) const
 {
     std::optional<HostId> best;
     unsigned bestRoom = 0;
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -42,8 +42,8 @@
 
     bool canUse(HostId issuer, ServiceId service, TimePoint now) const;
     /// The nearest issuer with room, seen from this host; only in `region` if given.
-    std::optional<HostId> choose(ServiceId service, std::optional<RegionId> region, const std::vector<HostId> &excluded,
-                                 TimePoint now) const;
+    std::optional<HostId> chooseLease(ServiceId service, std::optional<RegionId> region,
+                                      const std::vector<HostId> &excluded, TimePoint now) const;
     /// The host of a region with most slots to spare, as it said last; counts one of them as gone.
     std::optional<HostId> chooseSpare(ServiceId service, RegionId region, const std::vector<HostId> &excluded,
                                       TimePoint now);
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -124,7 +124,7 @@
 bool Steering::Impl::tryLease(Request &request)
 {
     const std::optional<RegionId> region = onwardRegion(request.charge);
-    const auto host = m_holder.choose(request.info.service, region, request.triedHosts, m_now);
+    const auto host = m_holder.chooseLease(request.info.service, region, request.triedHosts, m_now);
     if (!host) {
         return false;
     }
@@ -211,7 +211,7 @@
 bool Steering::Impl::leaseIsQuicker(ServiceId service, std::optional<RegionId> region,
                                     const std::vector<HostId> &excluded) const
 {
-    const auto host = m_holder.choose(service, region, excluded, m_now);
+    const auto host = m_holder.chooseLease(service, region, excluded, m_now);
     if (!host) {
         return false;
     }
