--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -283,8 +283,8 @@
     return best;
 }
 
-std::optional<HostId> LeaseHolder::chooseSpare(ServiceId service, RegionId region, const std::vector<HostId> &excluded,
-                                               TimePoint now)
+std::optional<HostId> LeaseHolder::chooseWithSpare(ServiceId service, RegionId region,
+                                                   const std::vector<HostId> &excluded, TimePoint now)
 {
     Held *best = nullptr;
     std::optional<HostId> bestHost;
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -45,8 +45,8 @@
     std::optional<HostId> chooseLease(ServiceId service, std::optional<RegionId> region,
                                       const std::vector<HostId> &excluded, TimePoint now) const;
     /// The host of a region with most slots to spare, as it said last; counts one of them as gone.
-    std::optional<HostId> chooseSpare(ServiceId service, RegionId region, const std::vector<HostId> &excluded,
-                                      TimePoint now);
+    std::optional<HostId> chooseWithSpare(ServiceId service, RegionId region, const std::vector<HostId> &excluded,
+                                          TimePoint now);
     /// The nearest live host of a region.
     std::optional<HostId> chooseAny(RegionId region, const std::vector<HostId> &excluded, TimePoint now) const;
     void started(HostId issuer, ServiceId service);
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -139,7 +139,7 @@
     if (request.charge.kind != Charge::Kind::Region) {
         return false;
     }
-    auto host = m_holder.chooseSpare(request.info.service, m_region, request.triedHosts, m_now);
+    auto host = m_holder.chooseWithSpare(request.info.service, m_region, request.triedHosts, m_now);
     if (!host && !m_queues[idx(request.info.service)].home.empty()) {
         // What a neighbour said is a little old; where own callers wait here already, asking it costs least.
         host = m_holder.chooseAny(m_region, request.triedHosts, m_now);
