--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -305,7 +305,8 @@
     return bestHost;
 }
 
-std::optional<HostId> LeaseHolder::chooseAny(RegionId region, const std::vector<HostId> &excluded, TimePoint now) const
+std::optional<HostId> LeaseHolder::chooseAlive(RegionId region, const std::vector<HostId> &excluded,
+                                               TimePoint now) const
 {
     for (const HostId host : m_issuers) {
         const bool isExcluded = std::find(excluded.begin(), excluded.end(), host) != excluded.end();
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -142,7 +142,7 @@
     auto host = m_holder.chooseWithSpare(request.info.service, m_region, request.triedHosts, m_now);
     if (!host && !m_queues[idx(request.info.service)].home.empty()) {
         // What a neighbour said is a little old; where own callers wait here already, asking it costs least.
-        host = m_holder.chooseAny(m_region, request.triedHosts, m_now);
+        host = m_holder.chooseAlive(m_region, request.triedHosts, m_now);
     }
     if (!host || request.attempts.size() >= MaxNeighbours) {
         return false;
