--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -317,7 +317,7 @@
     return std::nullopt;
 }
 
-void LeaseHolder::started(HostId issuer, ServiceId service)
+void LeaseHolder::startUse(HostId issuer, ServiceId service)
 {
     ++peer(issuer).services[idx(service)].used;
 }
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -49,7 +49,7 @@
                                           TimePoint now);
     /// The nearest live host of a region.
     std::optional<HostId> chooseAlive(RegionId region, const std::vector<HostId> &excluded, TimePoint now) const;
-    void started(HostId issuer, ServiceId service);
+    void startUse(HostId issuer, ServiceId service);
     void ended(HostId issuer, ServiceId service);
     /// Whether callers who will use about so many slots may be named this host; takes them off what it said to have to
     /// spare.
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -316,7 +316,7 @@
     attempt.toOwner = toOwner;
     attempt.startedAt = m_now;
     if (!toOwner) {
-        m_holder.started(host, request.info.service);
+        m_holder.startUse(host, request.info.service);
     }
     request.phase = Phase::Running;
     request.triedHosts.push_back(host);
