--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -121,7 +121,7 @@
 void Steering::Impl::settle(const Request &request, Attempt &attempt)
 {
     if (attempt.host && !attempt.toOwner) {
-        m_holder.ended(*attempt.host, request.info.service);
+        m_holder.endUse(*attempt.host, request.info.service);
     }
     if (attempt.isHedge) {
         attempt.isHedge = false;
--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -322,7 +322,7 @@
     ++peer(issuer).services[idx(service)].used;
 }
 
-void LeaseHolder::ended(HostId issuer, ServiceId service)
+void LeaseHolder::endUse(HostId issuer, ServiceId service)
 {
     Held &held = peer(issuer).services[idx(service)];
     assert(held.used > 0 && "a forwarded request ends that did not start");
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -50,7 +50,7 @@
     /// The nearest live host of a region.
     std::optional<HostId> chooseAlive(RegionId region, const std::vector<HostId> &excluded, TimePoint now) const;
     void startUse(HostId issuer, ServiceId service);
-    void ended(HostId issuer, ServiceId service);
+    void endUse(HostId issuer, ServiceId service);
     /// Whether callers who will use about so many slots may be named this host; takes them off what it said to have to
     /// spare.
     bool takeCredit(HostId host, ServiceId service, double slots);
