--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -255,7 +255,7 @@
     it.said.configIndex = index;
 }
 
-bool LeaseHolder::canUse(HostId issuer, ServiceId service, TimePoint now) const
+bool LeaseHolder::hasFreeSlots(HostId issuer, ServiceId service, TimePoint now) const
 {
     return room(issuer, service, now) > 0;
 }
@@ -267,7 +267,7 @@
     unsigned bestRoom = 0;
     for (const HostId host : m_issuers) {
         const bool isExcluded = std::find(excluded.begin(), excluded.end(), host) != excluded.end();
-        if (isExcluded || (region && m_regions[idx(host)] != *region) || !canUse(host, service, now)) {
+        if (isExcluded || (region && m_regions[idx(host)] != *region) || !hasFreeSlots(host, service, now)) {
             continue;
         }
         // m_issuers is sorted by distance; hosts of one zone are equally near and the one with most room is taken.
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -40,7 +40,7 @@
     /// Notes that a request of that host arrived.
     void recordContact(HostId peer, const HostStatus &said, TimePoint now);
 
-    bool canUse(HostId issuer, ServiceId service, TimePoint now) const;
+    bool hasFreeSlots(HostId issuer, ServiceId service, TimePoint now) const;
     /// The nearest issuer with room, seen from this host; only in `region` if given.
     std::optional<HostId> chooseLease(ServiceId service, std::optional<RegionId> region,
                                       const std::vector<HostId> &excluded, TimePoint now) const;
