--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -329,7 +329,7 @@
     --held.used;
 }
 
-bool LeaseHolder::takeCredit(HostId host, ServiceId service, double slots)
+bool LeaseHolder::spendLookupCredit(HostId host, ServiceId service, double slots)
 {
     Held &held = peer(host).services[idx(service)];
     if (held.credit < slots) {
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -53,7 +53,7 @@
     void endUse(HostId issuer, ServiceId service);
     /// Whether callers who will use about so many slots may be named this host; takes them off what it said to have to
     /// spare.
-    bool takeCredit(HostId host, ServiceId service, double slots);
+    bool spendLookupCredit(HostId host, ServiceId service, double slots);
     /// Slots of a lease that are not in use.
     unsigned room(HostId issuer, ServiceId service, TimePoint now) const;
 
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -44,7 +44,7 @@
         return true; // nothing is known against it
     }
     // The host itself counts and caps those who come to it from another region.
-    return m_holder.takeCredit(host, service, slotsPerLookup(service));
+    return m_holder.spendLookupCredit(host, service, slotsPerLookup(service));
 }
 
 // Measured: what own callers use, over the answers that they keep. The bundle's figure stands in until there are some.
