--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -109,7 +109,7 @@
     return std::max<Duration>(m_leaseTime / ExchangesInLease, TimePerContact * m_issuers.size());
 }
 
-unsigned LeaseHolder::room(const Held &held, TimePoint now) const
+unsigned LeaseHolder::freeSlots(const Held &held, TimePoint now) const
 {
     if (now >= held.validUntil) {
         return 0;
@@ -257,7 +257,7 @@
 
 bool LeaseHolder::hasFreeSlots(HostId issuer, ServiceId service, TimePoint now) const
 {
-    return room(issuer, service, now) > 0;
+    return freeSlots(issuer, service, now) > 0;
 }
 
 std::optional<HostId> LeaseHolder::chooseLease(ServiceId service, std::optional<RegionId> region,
@@ -274,7 +274,7 @@
         if (best && m_zones[idx(*best)] != m_zones[idx(host)]) {
             break;
         }
-        const unsigned hostRoom = room(find(host)->services[idx(service)], now);
+        const unsigned hostRoom = freeSlots(find(host)->services[idx(service)], now);
         if (hostRoom > bestRoom) {
             best = host;
             bestRoom = hostRoom;
@@ -339,10 +339,10 @@
     return true;
 }
 
-unsigned LeaseHolder::room(HostId issuer, ServiceId service, TimePoint now) const
+unsigned LeaseHolder::freeSlots(HostId issuer, ServiceId service, TimePoint now) const
 {
     const Peer *it = find(issuer);
-    return it == nullptr || it->said.isLeaving ? 0 : room(it->services[idx(service)], now);
+    return it == nullptr || it->said.isLeaving ? 0 : freeSlots(it->services[idx(service)], now);
 }
 
 bool LeaseHolder::isAlive(HostId host, TimePoint now) const
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -55,7 +55,7 @@
     /// spare.
     bool spendLookupCredit(HostId host, ServiceId service, double slots);
     /// Slots of a lease that are not in use.
-    unsigned room(HostId issuer, ServiceId service, TimePoint now) const;
+    unsigned freeSlots(HostId issuer, ServiceId service, TimePoint now) const;
 
     /// Whether the host was heard lately. One that this host exchanges nothing with counts as alive.
     bool isAlive(HostId host, TimePoint now) const;
@@ -93,7 +93,7 @@
 
     Peer &peer(HostId host);
     const Peer *find(HostId host) const;
-    unsigned room(const Held &held, TimePoint now) const;
+    unsigned freeSlots(const Held &held, TimePoint now) const;
     bool isDue(const Peer &peer, Duration interval, TimePoint now) const;
     bool isShort(const std::vector<unsigned> &overflow, TimePoint now) const;
     std::vector<unsigned> shareWants(ServiceId service, unsigned overflow, TimePoint now) const;
