--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -126,7 +126,7 @@
     std::optional<std::size_t> firstAlive;
     std::size_t standby = 0;
     for (std::size_t n = 0; n < m_issuers.size(); ++n) {
-        if (!lastHeard(m_issuers[n]) || !isAlive(m_issuers[n], now) || isLeaving(m_issuers[n])) {
+        if (!lastContact(m_issuers[n]) || !isAlive(m_issuers[n], now) || isLeaving(m_issuers[n])) {
             continue;
         }
         firstAlive = firstAlive.value_or(n);
@@ -375,7 +375,7 @@
     return HomeToken{name, it->said.ledgerId, it->said.ledgerAge};
 }
 
-std::optional<TimePoint> LeaseHolder::lastHeard(HostId host) const
+std::optional<TimePoint> LeaseHolder::lastContact(HostId host) const
 {
     const Peer *it = find(host);
     return it == nullptr ? std::nullopt : it->lastHeard;
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -40,7 +40,7 @@
         }
         return m_issuer.admitLookup(from, service, slotsPerLookup(service), m_now + m_bundle->policy.lookupTtl, m_now);
     }
-    if (from == m_bundle->regionOf(host) && !m_holder.lastHeard(host)) {
+    if (from == m_bundle->regionOf(host) && !m_holder.lastContact(host)) {
         return true; // nothing is known against it
     }
     // The host itself counts and caps those who come to it from another region.
--- a/lib/Steer/SliceGuard.cpp
+++ b/lib/Steer/SliceGuard.cpp
@@ -82,7 +82,7 @@
         return true;
     }
     return std::all_of(m_others.begin(), m_others.end(), [&](HostId host) {
-        const std::optional<TimePoint> heard = holder.lastHeard(host);
+        const std::optional<TimePoint> heard = holder.lastContact(host);
         return heard && now < *heard + lease && holder.configIndex(host) <= m_index;
     });
 }
