--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -366,7 +366,7 @@
     return it != nullptr && it->said.isLeaving;
 }
 
-std::optional<HomeToken> LeaseHolder::homeToken(HostId host, const std::string &name) const
+std::optional<HomeToken> LeaseHolder::ownerToken(HostId host, const std::string &name) const
 {
     const Peer *it = find(host);
     if (it == nullptr || it->said.ledgerId.empty()) {
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -61,7 +61,7 @@
     bool isAlive(HostId host, TimePoint now) const;
     bool isLeaving(HostId host) const;
     /// Ledger of the host as it said last; its age is that of then, so a token made of it is never from the future.
-    std::optional<HomeToken> homeToken(HostId host, const std::string &name) const;
+    std::optional<HomeToken> ownerToken(HostId host, const std::string &name) const;
     std::optional<TimePoint> lastContact(HostId host) const;
     std::uint64_t configIndex(HostId host) const;
     unsigned held(ServiceId service, TimePoint now) const;
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -149,7 +149,7 @@
     if (host == *m_self) {
         return m_ledger.token(m_now);
     }
-    const std::optional<HomeToken> token = m_holder.homeToken(host, m_bundle->hosts[idx(host)].name);
+    const std::optional<HomeToken> token = m_holder.ownerToken(host, m_bundle->hosts[idx(host)].name);
     const bool isOwnOfUse = !m_stopAskedAt && !isDrainedHost(*m_self);
     return token || !isOwnOfUse ? token : std::optional(m_ledger.token(m_now));
 }
