--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -176,7 +176,7 @@
 bool LeaseHolder::isShort(const std::vector<unsigned> &overflow, TimePoint now) const
 {
     for (std::size_t n = 0; n < overflow.size(); ++n) {
-        if (overflow[n] > held(makeId<ServiceId>(n), now)) {
+        if (overflow[n] > heldSlots(makeId<ServiceId>(n), now)) {
             return true;
         }
     }
@@ -387,7 +387,7 @@
     return it == nullptr ? 0 : it->said.configIndex;
 }
 
-unsigned LeaseHolder::held(ServiceId service, TimePoint now) const
+unsigned LeaseHolder::heldSlots(ServiceId service, TimePoint now) const
 {
     unsigned sum = 0;
     for (const auto &[id, it] : m_peers) {
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -64,7 +64,7 @@
     std::optional<HomeToken> ownerToken(HostId host, const std::string &name) const;
     std::optional<TimePoint> lastContact(HostId host) const;
     std::uint64_t configIndex(HostId host) const;
-    unsigned held(ServiceId service, TimePoint now) const;
+    unsigned heldSlots(ServiceId service, TimePoint now) const;
     unsigned inUse(ServiceId service) const;
     unsigned spare(HostId host, ServiceId service) const;
     const std::vector<HostId> &issuers() const;
