--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -397,7 +397,7 @@
     return sum;
 }
 
-unsigned LeaseHolder::inUse(ServiceId service) const
+unsigned LeaseHolder::usedSlots(ServiceId service) const
 {
     unsigned sum = 0;
     for (const auto &[id, it] : m_peers) {
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -65,7 +65,7 @@
     std::optional<TimePoint> lastContact(HostId host) const;
     std::uint64_t configIndex(HostId host) const;
     unsigned heldSlots(ServiceId service, TimePoint now) const;
-    unsigned inUse(ServiceId service) const;
+    unsigned usedSlots(ServiceId service) const;
     unsigned spare(HostId host, ServiceId service) const;
     const std::vector<HostId> &issuers() const;
     /// Time between two requests to one issuer.
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -259,7 +259,7 @@
     view.committed = m_impl->m_issuer.committed(service);
     view.lent = m_impl->m_issuer.lent(service);
     view.held = m_impl->m_holder.heldSlots(service, m_impl->m_now);
-    view.heldInUse = m_impl->m_holder.inUse(service);
+    view.heldInUse = m_impl->m_holder.usedSlots(service);
     view.queued = static_cast<unsigned>(m_impl->m_queues[idx(service)].size());
     view.demand = m_impl->m_demand[idx(service)].slotsWithMargin();
     return view;
