--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -187,7 +187,7 @@
     if (m_meters[idx(region)].allowedByCap(growth, now) < growth) {
         return false;
     }
-    m_meters[idx(region)].grew(growth, now);
+    m_meters[idx(region)].recordGrowth(growth, now);
     use.level = slots;
     return true;
 }
@@ -362,7 +362,7 @@
         if (region != m_ownRegion) {
             growth = m_meters[idx(region)].allowedByLink(growth, linkUse(region));
             growth = m_meters[idx(region)].allowedByCap(growth, now);
-            m_meters[idx(region)].grew(growth, now);
+            m_meters[idx(region)].recordGrowth(growth, now);
         }
         amount = kept + growth;
     }
--- a/lib/Steer/ShiftMeter.cpp
+++ b/lib/Steer/ShiftMeter.cpp
@@ -49,7 +49,7 @@
     return std::min(wanted, *m_link > inUse ? *m_link - inUse : 0);
 }
 
-void ShiftMeter::grew(unsigned slots, TimePoint now)
+void ShiftMeter::recordGrowth(unsigned slots, TimePoint now)
 {
     if (slots == 0 || !m_cap) {
         return;
--- a/lib/Steer/ShiftMeter.h
+++ b/lib/Steer/ShiftMeter.h
@@ -22,7 +22,7 @@
     /// Slots more that the link takes, at most `wanted`, with `inUse` of them taken.
     unsigned allowedByLink(unsigned wanted, unsigned inUse) const;
     /// Notes growth that was granted; allowedByCap() must have covered it.
-    void grew(unsigned slots, TimePoint now);
+    void recordGrowth(unsigned slots, TimePoint now);
 
     std::optional<unsigned> cap() const;
     Duration interval() const;
