--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -72,7 +72,7 @@
     m_meters.resize(bundle.regions.size());
     for (ShiftMeter &meter : m_meters) {
         meter.setCap(std::nullopt, {});
-        meter.setLink(std::nullopt);
+        meter.setLinkLimit(std::nullopt);
     }
     for (const ShiftCap &cap : bundle.shiftCaps) {
         if (cap.to == m_ownRegion) {
@@ -81,7 +81,7 @@
     }
     for (const LinkLimit &limit : bundle.linkLimits) {
         if (limit.to == m_ownRegion) {
-            m_meters[idx(limit.from)].setLink(partOf(limit.slots, weights, idx(self)));
+            m_meters[idx(limit.from)].setLinkLimit(partOf(limit.slots, weights, idx(self)));
         }
     }
 }
--- a/lib/Steer/ShiftMeter.cpp
+++ b/lib/Steer/ShiftMeter.cpp
@@ -19,7 +19,7 @@
     m_interval = interval;
 }
 
-void ShiftMeter::setLink(std::optional<unsigned> slots)
+void ShiftMeter::setLinkLimit(std::optional<unsigned> slots)
 {
     m_link = slots;
 }
--- a/lib/Steer/ShiftMeter.h
+++ b/lib/Steer/ShiftMeter.h
@@ -15,7 +15,7 @@
 {
 public:
     void setCap(std::optional<unsigned> slots, Duration interval);
-    void setLink(std::optional<unsigned> slots);
+    void setLinkLimit(std::optional<unsigned> slots);
 
     /// Slots by which the level may grow now, at most `wanted`.
     unsigned allowedByCap(unsigned wanted, TimePoint now);
