--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -392,7 +392,7 @@
 ShiftView LeaseIssuer::shift(RegionId from) const
 {
     const ShiftMeter &meter = m_meters[idx(from)];
-    return {levelOf(from), linkUse(from), meter.cap().value_or(UINT32_MAX), meter.interval(), meter.link()};
+    return {levelOf(from), linkUse(from), meter.cap().value_or(UINT32_MAX), meter.interval(), meter.linkLimit()};
 }
 
 } // namespace pepperlug
--- a/lib/Steer/ShiftMeter.cpp
+++ b/lib/Steer/ShiftMeter.cpp
@@ -68,7 +68,7 @@
     return m_interval;
 }
 
-std::optional<unsigned> ShiftMeter::link() const
+std::optional<unsigned> ShiftMeter::linkLimit() const
 {
     return m_link;
 }
--- a/lib/Steer/ShiftMeter.h
+++ b/lib/Steer/ShiftMeter.h
@@ -26,7 +26,7 @@
 
     std::optional<unsigned> cap() const;
     Duration interval() const;
-    std::optional<unsigned> link() const;
+    std::optional<unsigned> linkLimit() const;
 
 private:
     void forget(TimePoint now);
