--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -76,12 +76,12 @@
     }
     for (const ShiftCap &cap : bundle.shiftCaps) {
         if (cap.to == m_ownRegion) {
-            m_meters[idx(cap.from)].setCap(partOf(cap.slots, weights, idx(self)), cap.interval);
+            m_meters[idx(cap.from)].setCap(shareOf(cap.slots, weights, idx(self)), cap.interval);
         }
     }
     for (const LinkLimit &limit : bundle.linkLimits) {
         if (limit.to == m_ownRegion) {
-            m_meters[idx(limit.from)].setLinkLimit(partOf(limit.slots, weights, idx(self)));
+            m_meters[idx(limit.from)].setLinkLimit(shareOf(limit.slots, weights, idx(self)));
         }
     }
 }
--- a/lib/Steer/ShiftMeter.cpp
+++ b/lib/Steer/ShiftMeter.cpp
@@ -73,7 +73,7 @@
     return m_link;
 }
 
-unsigned partOf(unsigned whole, const std::vector<unsigned> &weights, std::size_t owner)
+unsigned shareOf(unsigned whole, const std::vector<unsigned> &weights, std::size_t owner)
 {
     assert(owner < weights.size() && "an owner without a weight asks for its part");
     const std::uint64_t total = std::accumulate(weights.begin(), weights.end(), std::uint64_t{0});
--- a/lib/Steer/ShiftMeter.h
+++ b/lib/Steer/ShiftMeter.h
@@ -44,6 +44,6 @@
 };
 
 /// The part of `whole` that falls to one of several owners with these weights, so that all parts sum to the whole.
-unsigned partOf(unsigned whole, const std::vector<unsigned> &weights, std::size_t owner);
+unsigned shareOf(unsigned whole, const std::vector<unsigned> &weights, std::size_t owner);
 
 } // namespace pepperlug
