--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -151,7 +151,7 @@
 
 void Steering::Impl::on(const ControlReplied &event)
 {
-    m_guard.controlHeard(event.index, m_now);
+    m_guard.handleControlReply(event.index, m_now);
 }
 
 void Steering::Impl::refreshSlice()
--- a/lib/Steer/SliceGuard.cpp
+++ b/lib/Steer/SliceGuard.cpp
@@ -64,7 +64,7 @@
     }
 }
 
-void SliceGuard::controlHeard(std::uint64_t index, TimePoint now)
+void SliceGuard::handleControlReply(std::uint64_t index, TimePoint now)
 {
     // An answer that knows of something newer renews nothing until that is in force here.
     if (index <= m_index) {
--- a/lib/Steer/SliceGuard.h
+++ b/lib/Steer/SliceGuard.h
@@ -19,7 +19,7 @@
     /// Takes over a configuration. `slots` are the bundle's targets; those of targets that stay are kept by name.
     void applyConfig(const Bundle *before, const Bundle &bundle, HostId self, const std::vector<std::string> &voidHosts,
                      std::uint64_t index, TimePoint now);
-    void controlHeard(std::uint64_t index, TimePoint now);
+    void handleControlReply(std::uint64_t index, TimePoint now);
 
     /// Whether this host may use its slice: a control host that is current was heard, or every other owner of the zone
     /// was and none knows a newer configuration, or there is no other.
