--- a/lib/Steer/SliceGuard.cpp
+++ b/lib/Steer/SliceGuard.cpp
@@ -95,7 +95,7 @@
 
 bool SliceGuard::refresh(const LeaseHolder &holder, TimePoint now)
 {
-    if (!isGrowing()) {
+    if (!hasPendingSlots()) {
         return false;
     }
     const auto surelyOver = std::chrono::duration_cast<Duration>(m_sliceLease * (1 + m_drift));
@@ -114,7 +114,7 @@
     return m_slots;
 }
 
-bool SliceGuard::isGrowing() const
+bool SliceGuard::hasPendingSlots() const
 {
     return m_slots != m_wanted;
 }
--- a/lib/Steer/SliceGuard.h
+++ b/lib/Steer/SliceGuard.h
@@ -28,7 +28,7 @@
     bool refresh(const LeaseHolder &holder, TimePoint now);
     /// Slots owned on each target, by TargetId.
     const std::vector<unsigned> &slots() const;
-    bool isGrowing() const;
+    bool hasPendingSlots() const;
 
 private:
     bool othersConfirmed(const LeaseHolder &holder) const;
