--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -295,7 +295,7 @@
     attempt.number = static_cast<unsigned>(request.attempts.size());
     attempt.target = target;
     attempt.startedAt = m_now;
-    m_pool.started(target);
+    m_pool.startRequest(target);
     request.phase = Phase::Running;
     request.triedTargets.push_back(target);
     request.attempts.push_back(attempt);
--- a/lib/Steer/TargetPool.cpp
+++ b/lib/Steer/TargetPool.cpp
@@ -169,7 +169,7 @@
     return best->id;
 }
 
-void TargetPool::started(TargetId target)
+void TargetPool::startRequest(TargetId target)
 {
     Local *local = find(target);
     assert(local != nullptr && "a request is started at a target of another zone");
--- a/lib/Steer/TargetPool.h
+++ b/lib/Steer/TargetPool.h
@@ -41,7 +41,7 @@
 
     std::optional<TargetId> choose(ServiceId service, const std::vector<TargetId> &excluded, TimePoint now,
                                    std::mt19937_64 &random);
-    void started(TargetId target);
+    void startRequest(TargetId target);
     void ended(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now, Effects &out);
 
     /// An attempt that was given up. Its slot stays taken for a moment, until the target has surely heard of it.
