--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -112,7 +112,7 @@
     attempt.isRunning = false;
     request.sent |= !isCertainlyNotRun(result);
     if (attempt.target) {
-        m_pool.ended(*attempt.target, evidenceOf(result), m_now - attempt.startedAt, m_now, *m_out);
+        m_pool.endRequest(*attempt.target, evidenceOf(result), m_now - attempt.startedAt, m_now, *m_out);
     }
     settle(request, attempt);
 }
--- a/lib/Steer/TargetPool.cpp
+++ b/lib/Steer/TargetPool.cpp
@@ -177,7 +177,7 @@
     ++m_services[m_places[idx(target)]->service].inFlight;
 }
 
-void TargetPool::ended(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now, Effects &out)
+void TargetPool::endRequest(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now, Effects &out)
 {
     Local *local = find(target);
     if (local == nullptr) {
@@ -247,7 +247,7 @@
     while (!m_lingering.empty() && m_lingering.front().until <= now) {
         const Lingering it = m_lingering.front();
         m_lingering.pop_front();
-        ended(it.target, it.evidence, it.latency, now, out);
+        endRequest(it.target, it.evidence, it.latency, now, out);
     }
 }
 
--- a/lib/Steer/TargetPool.h
+++ b/lib/Steer/TargetPool.h
@@ -42,7 +42,7 @@
     std::optional<TargetId> choose(ServiceId service, const std::vector<TargetId> &excluded, TimePoint now,
                                    std::mt19937_64 &random);
     void startRequest(TargetId target);
-    void ended(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now, Effects &out);
+    void endRequest(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now, Effects &out);
 
     /// An attempt that was given up. Its slot stays taken for a moment, until the target has surely heard of it.
     void cancelled(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now);
