--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -186,7 +186,8 @@
         if (attempt.target) {
             const Duration mean = m_pool.meanLatency(request.info.service);
             const bool isSlow = mean > Duration{} && took > mean * SlowFactor;
-            m_pool.cancelled(*attempt.target, isSlow ? TargetEvidence::Failure : TargetEvidence::Neutral, took, m_now);
+            m_pool.cancelRequest(*attempt.target, isSlow ? TargetEvidence::Failure : TargetEvidence::Neutral, took,
+                                 m_now);
         }
         settle(request, attempt);
         m_out->emplace_back(CancelAttempt{request.info.id, attempt.number});
--- a/lib/Steer/TargetPool.cpp
+++ b/lib/Steer/TargetPool.cpp
@@ -237,7 +237,7 @@
     out.emplace_back(StateChange{"target idle", local.name, "drain took " + std::to_string(took.count()) + " ms"});
 }
 
-void TargetPool::cancelled(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now)
+void TargetPool::cancelRequest(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now)
 {
     m_lingering.push_back({now + CancelLinger, target, evidence, latency});
 }
--- a/lib/Steer/TargetPool.h
+++ b/lib/Steer/TargetPool.h
@@ -45,7 +45,7 @@
     void endRequest(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now, Effects &out);
 
     /// An attempt that was given up. Its slot stays taken for a moment, until the target has surely heard of it.
-    void cancelled(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now);
+    void cancelRequest(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now);
 
     void setDrain(TargetId target, DrainSource source, bool isLeaving, TimePoint now, Effects &out);
     void report(const TargetReported &report, TimePoint now);
