--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -102,7 +102,7 @@
     if (!m_self || idx(event.target) >= m_bundle->targets.size()) {
         return;
     }
-    m_pool.report(event, m_now);
+    m_pool.applyReport(event, m_now);
     m_pool.setDrain(event.target, DrainSource::Target, event.leaving, m_now, *m_out);
 }
 
--- a/lib/Steer/TargetPool.cpp
+++ b/lib/Steer/TargetPool.cpp
@@ -273,7 +273,7 @@
     recount(m_services[m_places[idx(target)]->service], now);
 }
 
-void TargetPool::report(const TargetReported &report, TimePoint now)
+void TargetPool::applyReport(const TargetReported &report, TimePoint now)
 {
     Local *local = find(report.target);
     if (local == nullptr) {
--- a/lib/Steer/TargetPool.h
+++ b/lib/Steer/TargetPool.h
@@ -48,7 +48,7 @@
     void cancelRequest(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now);
 
     void setDrain(TargetId target, DrainSource source, bool isLeaving, TimePoint now, Effects &out);
-    void report(const TargetReported &report, TimePoint now);
+    void applyReport(const TargetReported &report, TimePoint now);
     /// Recounts what time has changed: slow start, ejection, age of reports.
     void refresh(TimePoint now, Effects &out);
 
