--- a/lib/Steer/TargetPool.cpp
+++ b/lib/Steer/TargetPool.cpp
@@ -316,7 +316,7 @@
     }
 }
 
-bool TargetPool::owns(TargetId target) const
+bool TargetPool::contains(TargetId target) const
 {
     return find(target) != nullptr;
 }
--- a/lib/Steer/TargetPool.h
+++ b/lib/Steer/TargetPool.h
@@ -52,7 +52,7 @@
     /// Recounts what time has changed: slow start, ejection, age of reports.
     void refresh(TimePoint now, Effects &out);
 
-    bool owns(TargetId target) const;
+    bool contains(TargetId target) const;
     unsigned sliceSlots(ServiceId service) const;
     unsigned capacity(ServiceId service) const;
     unsigned inFlight(ServiceId service) const;
