--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -304,7 +304,7 @@
     m_out->emplace_back(Dispatch{request.info.id, attempt.number, target, request.info.deadline});
     const bool mayHedge = request.info.cls == RouteClass::Read && !request.hedged && !request.info.forwardedBy;
     if (mayHedge && m_pool.meanLatency(request.info.service) > Duration{}) {
-        m_timers.push({m_now + m_pool.hedgeAfter(request.info.service), request.info.id, TimerKind::Hedge});
+        m_timers.push({m_now + m_pool.hedgeDelay(request.info.service), request.info.id, TimerKind::Hedge});
     }
 }
 
--- a/lib/Steer/TargetPool.cpp
+++ b/lib/Steer/TargetPool.cpp
@@ -341,7 +341,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(m_services[idx(service)].latency));
 }
 
-Duration TargetPool::hedgeAfter(ServiceId service) const
+Duration TargetPool::hedgeDelay(ServiceId service) const
 {
     const ServicePool &pool = m_services[idx(service)];
     const double after = pool.latency + HedgeDeviations * pool.deviation;
--- a/lib/Steer/TargetPool.h
+++ b/lib/Steer/TargetPool.h
@@ -59,7 +59,7 @@
     /// Mean time that a request of the service takes at a target.
     Duration meanLatency(ServiceId service) const;
     /// Time after which a request is slower than nearly all others.
-    Duration hedgeAfter(ServiceId service) const;
+    Duration hedgeDelay(ServiceId service) const;
     TargetView view(TargetId target) const;
 
 private:
