--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -72,7 +72,7 @@
 }
 
 // An end that comes twice, or after its request has got its answer, finds nothing here and is dropped.
-void Steering::Impl::on(const AttemptEnded &event)
+void Steering::Impl::handle(const AttemptEnded &event)
 {
     const auto it = m_requests.find(event.id);
     if (it == m_requests.end() || event.attempt >= it->second.attempts.size()) {
@@ -242,7 +242,7 @@
     runQueue(service);
 }
 
-void Steering::Impl::on(const CallerDisconnected &event)
+void Steering::Impl::handle(const CallerDisconnected &event)
 {
     const auto it = m_requests.find(event.id);
     if (it == m_requests.end() || it->second.phase == Phase::Detached) {
--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -36,7 +36,7 @@
 } // namespace
 
 // The index of the control log only moves forward: an old decision that arrives late changes nothing.
-void Steering::Impl::on(const ConfigApplied &event)
+void Steering::Impl::handle(const ConfigApplied &event)
 {
     if (event.index <= m_index) {
         return;
@@ -149,7 +149,7 @@
     }
 }
 
-void Steering::Impl::on(const ControlReplied &event)
+void Steering::Impl::handle(const ControlReplied &event)
 {
     m_guard.handleControlReply(event.index, m_now);
 }
@@ -173,7 +173,7 @@
     return m_drainedHosts[idx(host)];
 }
 
-void Steering::Impl::on(const PlatformListArrived &event)
+void Steering::Impl::handle(const PlatformListArrived &event)
 {
     if (!m_self) {
         return;
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -75,20 +75,20 @@
 public:
     Impl(SteerSettings settings, TimePoint now);
 
-    void on(const ConfigApplied &event);
-    void on(const ControlReplied &event);
-    void on(const LookupArrived &event);
-    void on(const RequestArrived &event);
-    void on(const AttemptEnded &event);
-    void on(const CallerDisconnected &event);
-    void on(const LeaseRequestArrived &event);
-    void on(const LeaseGranted &event);
-    void on(const LeaseFailed &event);
-    void on(const TargetReported &event);
-    void on(const PlatformListArrived &event);
-    void on(const ClaimSynced &event);
-    void on(const StopRequested &event);
-    void on(const Tick &event);
+    void handle(const ConfigApplied &event);
+    void handle(const ControlReplied &event);
+    void handle(const LookupArrived &event);
+    void handle(const RequestArrived &event);
+    void handle(const AttemptEnded &event);
+    void handle(const CallerDisconnected &event);
+    void handle(const LeaseRequestArrived &event);
+    void handle(const LeaseGranted &event);
+    void handle(const LeaseFailed &event);
+    void handle(const TargetReported &event);
+    void handle(const PlatformListArrived &event);
+    void handle(const ClaimSynced &event);
+    void handle(const StopRequested &event);
+    void handle(const Tick &event);
 
     // Config.cpp
     void remapRequests(const IdMap &ids);
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -154,7 +154,7 @@
     return token || !isOwnOfUse ? token : std::optional(m_ledger.token(m_now));
 }
 
-void Steering::Impl::on(const LookupArrived &event)
+void Steering::Impl::handle(const LookupArrived &event)
 {
     if (!m_self) {
         m_out->emplace_back(Refuse{event.id, Outcome::NotRun, Reason::NotReady, Milliseconds(1000), {}});
--- a/lib/Steer/OnceFlow.cpp
+++ b/lib/Steer/OnceFlow.cpp
@@ -78,7 +78,7 @@
     startAtHost(request, *home, Reason::Owner, true);
 }
 
-void Steering::Impl::on(const ClaimSynced &event)
+void Steering::Impl::handle(const ClaimSynced &event)
 {
     const auto it = m_requests.find(event.id);
     if (it == m_requests.end()) {
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -39,7 +39,7 @@
     return {Charge::Kind::Local, m_region, {}};
 }
 
-void Steering::Impl::on(const RequestArrived &event)
+void Steering::Impl::handle(const RequestArrived &event)
 {
     Request &request = m_requests[event.id];
     request.info = event;
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -62,7 +62,7 @@
     return all;
 }
 
-void Steering::Impl::on(const LeaseRequestArrived &event)
+void Steering::Impl::handle(const LeaseRequestArrived &event)
 {
     if (!m_self || idx(event.holder) >= m_bundle->hosts.size()) {
         return;
@@ -79,7 +79,7 @@
     m_out->emplace_back(GrantLease{event.holder, std::move(grant)});
 }
 
-void Steering::Impl::on(const LeaseGranted &event)
+void Steering::Impl::handle(const LeaseGranted &event)
 {
     if (!m_self || idx(event.issuer) >= m_bundle->hosts.size()
         || !m_holder.handleGrant(event.issuer, event.grant, m_now)) {
@@ -90,14 +90,14 @@
     }
 }
 
-void Steering::Impl::on(const LeaseFailed &event)
+void Steering::Impl::handle(const LeaseFailed &event)
 {
     if (m_self && idx(event.issuer) < m_bundle->hosts.size()) {
         m_holder.handleFailure(event.issuer, event.sequence);
     }
 }
 
-void Steering::Impl::on(const TargetReported &event)
+void Steering::Impl::handle(const TargetReported &event)
 {
     if (!m_self || idx(event.target) >= m_bundle->targets.size()) {
         return;
@@ -106,7 +106,7 @@
     m_pool.setDrain(event.target, DrainSource::Target, event.leaving, m_now, *m_out);
 }
 
-void Steering::Impl::on(const StopRequested &)
+void Steering::Impl::handle(const StopRequested &)
 {
     if (m_stopAskedAt) {
         return;
@@ -116,7 +116,7 @@
     tell("stop asked", m_settings.hostName);
 }
 
-void Steering::Impl::on(const Tick &)
+void Steering::Impl::handle(const Tick &)
 {
     if (!m_self) {
         checkStop();
@@ -226,7 +226,7 @@
 {
     m_impl->m_now = std::max(m_impl->m_now, now);
     m_impl->m_out = &out;
-    std::visit([this](const auto &it) { m_impl->on(it); }, event);
+    std::visit([this](const auto &it) { m_impl->handle(it); }, event);
     m_impl->m_out = nullptr;
 }
 
