--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -108,7 +108,7 @@
     void runQueue(ServiceId service);
     void runQueue(ServiceId service, std::deque<RequestId> &queue);
     std::deque<RequestId> &queueOf(const Request &request);
-    bool noneWaitBefore(const Request &request);
+    bool noneQueuedAhead(const Request &request);
     /// Time that one more request would wait behind those that wait already, for `slots` to come free.
     Duration queueWait(ServiceId service, std::size_t waiting, unsigned slots) const;
     Duration homeWait(ServiceId service) const;
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -72,7 +72,7 @@
         return placeByBaseline(request);
     }
     // Whoever waits already goes first, unless this request may go where the waiting ones may not.
-    const bool mayOvertake = request.charge.kind == Charge::Kind::Holder || noneWaitBefore(request);
+    const bool mayOvertake = request.charge.kind == Charge::Kind::Holder || noneQueuedAhead(request);
     std::optional<Reason> reason = Reason::NoCapacity;
     if (mayOvertake) {
         reason = tryLocal(request);
@@ -171,7 +171,7 @@
         startAtHost(request, host, Reason::LeasedZone, false);
         return std::nullopt;
     }
-    const std::optional<Reason> reason = noneWaitBefore(request) ? tryLocal(request) : Reason::NoCapacity;
+    const std::optional<Reason> reason = noneQueuedAhead(request) ? tryLocal(request) : Reason::NoCapacity;
     if (!reason || enqueue(request)) {
         return std::nullopt;
     }
@@ -198,7 +198,7 @@
     return request.charge.kind == Charge::Kind::Local ? queues.home : queues.foreign[request.charge.region];
 }
 
-bool Steering::Impl::noneWaitBefore(const Request &request)
+bool Steering::Impl::noneQueuedAhead(const Request &request)
 {
     return m_queues[idx(request.info.service)].home.empty() && queueOf(request).empty();
 }
