--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -115,7 +115,7 @@
     /// Region to which a request of this charge may be sent on; nothing for any.
     std::optional<RegionId> onwardRegion(const Charge &charge) const;
     /// Whether going to the nearest lease adds less time than waiting here.
-    bool leaseIsQuicker(ServiceId service, std::optional<RegionId> region, const std::vector<HostId> &excluded) const;
+    bool isLeaseFaster(ServiceId service, std::optional<RegionId> region, const std::vector<HostId> &excluded) const;
     bool isHopeless(const Request &request) const;
     void startAtTarget(Request &request, TargetId target, Reason reason);
     void startAtHost(Request &request, HostId host, Reason reason, bool toOwner);
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -85,7 +85,7 @@
         return reason; // the host that it came from decides where it goes next
     }
     const std::optional<RegionId> region = onwardRegion(request.charge);
-    if (leaseIsQuicker(request.info.service, region, request.triedHosts) && tryLease(request)) {
+    if (isLeaseFaster(request.info.service, region, request.triedHosts) && tryLease(request)) {
         return std::nullopt;
     }
     if (tryNeighbour(request) || enqueue(request) || tryLease(request)) {
@@ -208,8 +208,8 @@
     return charge.kind == Charge::Kind::Region ? std::optional(charge.region) : std::nullopt;
 }
 
-bool Steering::Impl::leaseIsQuicker(ServiceId service, std::optional<RegionId> region,
-                                    const std::vector<HostId> &excluded) const
+bool Steering::Impl::isLeaseFaster(ServiceId service, std::optional<RegionId> region,
+                                   const std::vector<HostId> &excluded) const
 {
     const auto host = m_holder.chooseLease(service, region, excluded, m_now);
     if (!host) {
@@ -282,7 +282,7 @@
             queue.pop_front();
             continue;
         }
-        if (!leaseIsQuicker(service, onwardRegion(request.charge), request.triedHosts) || !tryLease(request)) {
+        if (!isLeaseFaster(service, onwardRegion(request.charge), request.triedHosts) || !tryLease(request)) {
             return;
         }
         queue.pop_front();
