--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -156,7 +156,7 @@
     const bool shedOnce = isOnce && result == AttemptResult::Shed;
     const bool mayRepeat = isCertainlyNotRun(result) ? !shedOnce : request.info.cls == RouteClass::Read;
     const bool paysToken = result != AttemptResult::NotSent && result != AttemptResult::RemoteNotRun;
-    const bool hasRoom = request.attempts.size() < MaxAttempts && !isHopeless(request);
+    const bool hasRoom = request.attempts.size() < MaxAttempts && !willMissDeadline(request);
     if (result != AttemptResult::TooLarge && mayRepeat && hasRoom && (!paysToken || takeRetryToken())) {
         if (!place(request)) {
             return;
@@ -270,7 +270,7 @@
 void Steering::Impl::hedge(Request &request)
 {
     const bool runsOnce = request.phase == Phase::Running && request.attempts.size() == 1 && request.attempts[0].target;
-    if (!runsOnce || request.hedged || isHopeless(request) || !m_sliceValid || m_retryTokens < 1) {
+    if (!runsOnce || request.hedged || willMissDeadline(request) || !m_sliceValid || m_retryTokens < 1) {
         return;
     }
     const ServiceId service = request.info.service;
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -116,7 +116,7 @@
     std::optional<RegionId> onwardRegion(const Charge &charge) const;
     /// Whether going to the nearest lease adds less time than waiting here.
     bool isLeaseFaster(ServiceId service, std::optional<RegionId> region, const std::vector<HostId> &excluded) const;
-    bool isHopeless(const Request &request) const;
+    bool willMissDeadline(const Request &request) const;
     void startAtTarget(Request &request, TargetId target, Reason reason);
     void startAtHost(Request &request, HostId host, Reason reason, bool toOwner);
     void refuse(Request &request, Outcome outcome, Reason reason, const std::string &peer);
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -246,7 +246,7 @@
     return true;
 }
 
-bool Steering::Impl::isHopeless(const Request &request) const
+bool Steering::Impl::willMissDeadline(const Request &request) const
 {
     return m_now + m_pool.meanLatency(request.info.service) > request.info.deadline;
 }
@@ -272,7 +272,7 @@
             continue;
         }
         Request &request = it->second;
-        if (isHopeless(request)) {
+        if (willMissDeadline(request)) {
             queue.pop_front();
             // A read that waits for another attempt may have run in its first.
             refuse(request, request.sent ? Outcome::Unknown : Outcome::NotRun, Reason::NoCapacity, {});
