--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -111,7 +111,7 @@
     bool noneQueuedAhead(const Request &request);
     /// Time that one more request would wait behind those that wait already, for `slots` to come free.
     Duration queueWait(ServiceId service, std::size_t waiting, unsigned slots) const;
-    Duration homeWait(ServiceId service) const;
+    Duration localQueueWait(ServiceId service) const;
     /// Region to which a request of this charge may be sent on; nothing for any.
     std::optional<RegionId> onwardRegion(const Charge &charge) const;
     /// Whether going to the nearest lease adds less time than waiting here.
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -183,7 +183,7 @@
     return m_pool.meanLatency(service) * (waiting + 1) / std::max(1U, slots);
 }
 
-Duration Steering::Impl::homeWait(ServiceId service) const
+Duration Steering::Impl::localQueueWait(ServiceId service) const
 {
     const unsigned committed = m_issuer.committed(service);
     const unsigned takenByOthers = committed - m_issuer.localUsed(service);
@@ -216,7 +216,7 @@
         return false;
     }
     const auto oneWay = m_bundle->latency(m_zone, m_bundle->hosts[idx(*host)].zone);
-    return localCapacity(service) == 0 || Duration(oneWay) * 2 < homeWait(service);
+    return localCapacity(service) == 0 || Duration(oneWay) * 2 < localQueueWait(service);
 }
 
 // Callers of another region wait only where they hold slots here that will come free, and not for more than about two
@@ -228,7 +228,7 @@
     // As many in line as there are slots keep every slot busy; a longer queue adds wait and serves hardly anybody more.
     const unsigned useful = std::max(localCapacity(service), MinQueue);
     std::size_t limit = std::min(m_bundle->services[idx(service)].queue, useful);
-    Duration wait = homeWait(service);
+    Duration wait = localQueueWait(service);
     if (request.charge.kind == Charge::Kind::Region) {
         const unsigned held = m_issuer.heldByRegion(request.charge.region, service);
         // Behind own callers who wait already, the wait has no bound.
@@ -334,7 +334,7 @@
     case Reason::NoCapacity:
     case Reason::Shed:
     case Reason::TargetUnreachable: {
-        const auto wait = std::chrono::duration_cast<Milliseconds>(homeWait(request.info.service) * 2);
+        const auto wait = std::chrono::duration_cast<Milliseconds>(localQueueWait(request.info.service) * 2);
         return std::clamp(wait, MinRetryAfter, MaxRetryAfter);
     }
     case Reason::ShiftCap:
