--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -113,7 +113,7 @@
     Duration queueWait(ServiceId service, std::size_t waiting, unsigned slots) const;
     Duration localQueueWait(ServiceId service) const;
     /// Region to which a request of this charge may be sent on; nothing for any.
-    std::optional<RegionId> onwardRegion(const Charge &charge) const;
+    std::optional<RegionId> forwardRegion(const Charge &charge) const;
     /// Whether going to the nearest lease adds less time than waiting here.
     bool isLeaseFaster(ServiceId service, std::optional<RegionId> region, const std::vector<HostId> &excluded) const;
     bool willMissDeadline(const Request &request) const;
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -84,7 +84,7 @@
     if (wasPassedOn) {
         return reason; // the host that it came from decides where it goes next
     }
-    const std::optional<RegionId> region = onwardRegion(request.charge);
+    const std::optional<RegionId> region = forwardRegion(request.charge);
     if (isLeaseFaster(request.info.service, region, request.triedHosts) && tryLease(request)) {
         return std::nullopt;
     }
@@ -123,7 +123,7 @@
 // would be a shift that no cap here accounts for.
 bool Steering::Impl::tryLease(Request &request)
 {
-    const std::optional<RegionId> region = onwardRegion(request.charge);
+    const std::optional<RegionId> region = forwardRegion(request.charge);
     const auto host = m_holder.chooseLease(request.info.service, region, request.triedHosts, m_now);
     if (!host) {
         return false;
@@ -203,7 +203,7 @@
     return m_queues[idx(request.info.service)].home.empty() && queueOf(request).empty();
 }
 
-std::optional<RegionId> Steering::Impl::onwardRegion(const Charge &charge) const
+std::optional<RegionId> Steering::Impl::forwardRegion(const Charge &charge) const
 {
     return charge.kind == Charge::Kind::Region ? std::optional(charge.region) : std::nullopt;
 }
@@ -282,7 +282,7 @@
             queue.pop_front();
             continue;
         }
-        if (!isLeaseFaster(service, onwardRegion(request.charge), request.triedHosts) || !tryLease(request)) {
+        if (!isLeaseFaster(service, forwardRegion(request.charge), request.triedHosts) || !tryLease(request)) {
             return;
         }
         queue.pop_front();
