--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -139,7 +139,7 @@
     // OnceFlow.cpp
     /// Returns true if the request goes on to be placed now.
     bool claim(Request &request);
-    void startAtHome(Request &request, const OperationKey &key);
+    void startAtOwner(Request &request, const OperationKey &key);
     void finishClaim(Request &request, const AttemptEnded &event);
     /// Closes the claim of a refused request. Returns true if the refusal has to wait for a disk.
     bool closeClaim(Request &request, const Refuse &refusal);
--- a/lib/Steer/OnceFlow.cpp
+++ b/lib/Steer/OnceFlow.cpp
@@ -20,7 +20,7 @@
         return false;
     }
     if (key->home.host != m_settings.hostName) {
-        startAtHome(request, *key);
+        startAtOwner(request, *key);
         return false;
     }
     const ClaimResult result = m_ledger.claim(*key, request.info.requestDigest, m_now);
@@ -64,7 +64,7 @@
     return false;
 }
 
-void Steering::Impl::startAtHome(Request &request, const OperationKey &key)
+void Steering::Impl::startAtOwner(Request &request, const OperationKey &key)
 {
     if (request.info.forwardedBy) {
         refuse(request, Outcome::Unknown, Reason::LoopRefused, {});
