--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -114,11 +114,11 @@
     if (attempt.target) {
         m_pool.endRequest(*attempt.target, evidenceOf(result), m_now - attempt.startedAt, m_now, *m_out);
     }
-    settle(request, attempt);
+    releaseAttempt(request, attempt);
 }
 
 // Gives back what an attempt used besides its target.
-void Steering::Impl::settle(const Request &request, Attempt &attempt)
+void Steering::Impl::releaseAttempt(const Request &request, Attempt &attempt)
 {
     if (attempt.host && !attempt.toOwner) {
         m_holder.endUse(*attempt.host, request.info.service);
@@ -189,7 +189,7 @@
             m_pool.cancelRequest(*attempt.target, isSlow ? TargetEvidence::Failure : TargetEvidence::Neutral, took,
                                  m_now);
         }
-        settle(request, attempt);
+        releaseAttempt(request, attempt);
         m_out->emplace_back(CancelAttempt{request.info.id, attempt.number});
     }
 }
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -126,7 +126,7 @@
 
     // Attempts.cpp
     void endAttempt(Request &request, Attempt &attempt, AttemptResult result);
-    void settle(const Request &request, Attempt &attempt);
+    void releaseAttempt(const Request &request, Attempt &attempt);
     void afterFailure(Request &request, const Attempt &attempt, AttemptResult result);
     void cancelAttempts(Request &request);
     void release(Request &request);
