--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -95,7 +95,7 @@
             m_out->emplace_back(RelayAnswer{event.id, event.attempt});
         }
         const std::string key = request.holdsClaim ? request.info.key : std::string();
-        release(request);
+        releaseCharge(request);
         erase(event.id);
         if (!key.empty()) {
             answerWaiters(key);
@@ -141,7 +141,7 @@
     if (request.phase == Phase::Detached) {
         finishClaim(request, {request.info.id, attempt.number, result, false, nullptr});
         const std::string key = request.info.key;
-        release(request);
+        releaseCharge(request);
         erase(request.info.id);
         answerWaiters(key);
         return;
@@ -194,7 +194,7 @@
     }
 }
 
-void Steering::Impl::release(Request &request)
+void Steering::Impl::releaseCharge(Request &request)
 {
     if (request.isCharged) {
         request.isCharged = false;
@@ -225,7 +225,7 @@
         cancelAttempts(request);
         finishClaim(request, {id, 0, AttemptResult::Broken, false, nullptr});
         const std::string key = request.info.key;
-        release(request);
+        releaseCharge(request);
         erase(id);
         answerWaiters(key);
     } else if (wasRunning && request.holdsClaim) {
@@ -262,7 +262,7 @@
         return; // a dispatched operation goes on; a resend will ask for its end
     }
     cancelAttempts(request);
-    release(request);
+    releaseCharge(request);
     erase(event.id);
     runQueue(service);
 }
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -129,7 +129,7 @@
     void releaseAttempt(const Request &request, Attempt &attempt);
     void afterFailure(Request &request, const Attempt &attempt, AttemptResult result);
     void cancelAttempts(Request &request);
-    void release(Request &request);
+    void releaseCharge(Request &request);
     void erase(RequestId id);
     void deadlinePassed(Request &request);
     void hedge(Request &request);
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -128,7 +128,7 @@
     if (!host) {
         return false;
     }
-    release(request);
+    releaseCharge(request);
     startAtHost(request, *host, Reason::LeasedZone, false);
     return true;
 }
@@ -147,7 +147,7 @@
     if (!host || request.attempts.size() >= MaxNeighbours) {
         return false;
     }
-    release(request);
+    releaseCharge(request);
     startAtHost(request, *host, Reason::Neighbour, false);
     return true;
 }
@@ -239,7 +239,7 @@
     if (queue.size() >= limit || isTooLate || localCapacity(service) == 0) {
         return false;
     }
-    release(request);
+    releaseCharge(request);
     request.phase = Phase::Queued;
     queue.push_back(request.info.id);
     log(request, Reason::Queued, std::nullopt, std::nullopt, 0);
@@ -355,7 +355,7 @@
 {
     const Refuse refusal{request.info.id, outcome, reason, retryAfter(request, reason), peer};
     cancelAttempts(request);
-    release(request);
+    releaseCharge(request);
     if (m_self) {
         log(request, reason, std::nullopt, std::nullopt, 0);
     }
