--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -102,7 +102,7 @@
         }
     } else {
         const Attempt ended = attempt;
-        afterFailure(request, ended, event.result);
+        handleFailedAttempt(request, ended, event.result);
     }
     runQueue(service);
 }
@@ -129,7 +129,7 @@
     }
 }
 
-void Steering::Impl::afterFailure(Request &request, const Attempt &attempt, AttemptResult result)
+void Steering::Impl::handleFailedAttempt(Request &request, const Attempt &attempt, AttemptResult result)
 {
     const bool othersRun =
         std::any_of(request.attempts.begin(), request.attempts.end(), [](const Attempt &it) { return it.isRunning; });
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -127,7 +127,7 @@
     // Attempts.cpp
     void endAttempt(Request &request, Attempt &attempt, AttemptResult result);
     void releaseAttempt(const Request &request, Attempt &attempt);
-    void afterFailure(Request &request, const Attempt &attempt, AttemptResult result);
+    void handleFailedAttempt(Request &request, const Attempt &attempt, AttemptResult result);
     void cancelAttempts(Request &request);
     void releaseCharge(Request &request);
     void erase(RequestId id);
