--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -216,7 +216,7 @@
 
 // A once-only operation that has been dispatched is left to run, so that a resend can be told what came of it. Its
 // caller gets an answer now all the same.
-void Steering::Impl::deadlinePassed(Request &request)
+void Steering::Impl::handleDeadline(Request &request)
 {
     const RequestId id = request.info.id;
     const ServiceId service = request.info.service;
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -131,7 +131,7 @@
     void cancelAttempts(Request &request);
     void releaseCharge(Request &request);
     void erase(RequestId id);
-    void deadlinePassed(Request &request);
+    void handleDeadline(Request &request);
     void hedge(Request &request);
     bool takeRetryToken();
     std::string peerName(const Attempt &attempt) const;
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -177,7 +177,7 @@
             continue;
         }
         if (timer.kind == TimerKind::Deadline) {
-            deadlinePassed(it->second);
+            handleDeadline(it->second);
         } else {
             hedge(it->second);
         }
