--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -267,7 +267,7 @@
     runQueue(service);
 }
 
-void Steering::Impl::hedge(Request &request)
+void Steering::Impl::startHedge(Request &request)
 {
     const bool runsOnce = request.phase == Phase::Running && request.attempts.size() == 1 && request.attempts[0].target;
     if (!runsOnce || request.hedged || willMissDeadline(request) || !m_sliceValid || m_retryTokens < 1) {
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -132,7 +132,7 @@
     void releaseCharge(Request &request);
     void erase(RequestId id);
     void handleDeadline(Request &request);
-    void hedge(Request &request);
+    void startHedge(Request &request);
     bool takeRetryToken();
     std::string peerName(const Attempt &attempt) const;
 
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -179,7 +179,7 @@
         if (timer.kind == TimerKind::Deadline) {
             handleDeadline(it->second);
         } else {
-            hedge(it->second);
+            startHedge(it->second);
         }
     }
 }
