--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -69,7 +69,7 @@
 
 // Hosts that may be named for a caller, nearest first. Those that are equally near come in random order, weighted by
 // the room that they have: in a fixed order, callers of a lost region would all fall on the same zone.
-std::vector<HostId> Steering::Impl::candidates(const LookupArrived &event)
+std::vector<HostId> Steering::Impl::candidateHosts(const LookupArrived &event)
 {
     const ZoneId callerZone = event.callerZone.value_or(m_zone);
     const std::vector<ZoneId> &zones = m_zonesByDistance[idx(callerZone)];
@@ -121,7 +121,7 @@
 // other zone where there is one, for the case that the first can't be reached.
 std::vector<HostId> Steering::Impl::rankHosts(const LookupArrived &event)
 {
-    std::vector<HostId> hosts = candidates(event);
+    std::vector<HostId> hosts = candidateHosts(event);
     const auto first = std::find_if(hosts.begin(), hosts.end(), [&](HostId host) { return spendLookup(event, host); });
     if (first != hosts.end()) {
         std::rotate(hosts.begin(), first, first + 1);
