--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -148,7 +148,7 @@
     // Lookup.cpp
     std::vector<HostId> rankHosts(const LookupArrived &event);
     std::vector<HostId> candidateHosts(const LookupArrived &event);
-    void shuffleByRoom(std::vector<HostId> &hosts, std::size_t from, ServiceId service);
+    void shuffleByFreeSlots(std::vector<HostId> &hosts, std::size_t from, ServiceId service);
     unsigned roomAt(HostId host, ServiceId service) const;
     /// Slots that a caller who keeps a look-up answer uses about.
     double slotsPerLookup(ServiceId service) const;
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -87,7 +87,7 @@
         const bool endsGroup = n + 1 == zones.size()
             || m_bundle->latency(callerZone, zones[n]) != m_bundle->latency(callerZone, zones[n + 1]);
         if (endsGroup) {
-            shuffleByRoom(all, groupStart, event.service);
+            shuffleByFreeSlots(all, groupStart, event.service);
             groupStart = all.size();
         }
     }
@@ -95,7 +95,7 @@
 }
 
 // Only as many places are drawn as an answer has: in a system with many zones most hosts are equally far.
-void Steering::Impl::shuffleByRoom(std::vector<HostId> &hosts, std::size_t from, ServiceId service)
+void Steering::Impl::shuffleByFreeSlots(std::vector<HostId> &hosts, std::size_t from, ServiceId service)
 {
     std::vector<unsigned> rooms;
     unsigned total = 0;
