--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -149,7 +149,7 @@
     std::vector<HostId> rankHosts(const LookupArrived &event);
     std::vector<HostId> candidateHosts(const LookupArrived &event);
     void shuffleByFreeSlots(std::vector<HostId> &hosts, std::size_t from, ServiceId service);
-    unsigned roomAt(HostId host, ServiceId service) const;
+    unsigned freeSlotsAt(HostId host, ServiceId service) const;
     /// Slots that a caller who keeps a look-up answer uses about.
     double slotsPerLookup(ServiceId service) const;
     bool spendLookup(const LookupArrived &event, HostId host);
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -59,7 +59,7 @@
 }
 
 // Slots that the host could give to callers, as far as is known here; at least one, so that none is left out for good.
-unsigned Steering::Impl::roomAt(HostId host, ServiceId service) const
+unsigned Steering::Impl::freeSlotsAt(HostId host, ServiceId service) const
 {
     if (host != *m_self) {
         return m_holder.spare(host, service) + 1;
@@ -100,7 +100,7 @@
     std::vector<unsigned> rooms;
     unsigned total = 0;
     for (std::size_t n = from; n < hosts.size(); ++n) {
-        rooms.push_back(roomAt(hosts[n], service));
+        rooms.push_back(freeSlotsAt(hosts[n], service));
         total += rooms.back();
     }
     const std::size_t places = std::min(rooms.size(), MaxHostsInAnswer);
