--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -152,7 +152,7 @@
     unsigned freeSlotsAt(HostId host, ServiceId service) const;
     /// Slots that a caller who keeps a look-up answer uses about.
     double slotsPerLookup(ServiceId service) const;
-    bool spendLookup(const LookupArrived &event, HostId host);
+    bool reserveLookup(const LookupArrived &event, HostId host);
     bool serves(ZoneId zone, ServiceId service) const;
     std::optional<HomeToken> homeTokenOf(HostId host) const;
 
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -25,7 +25,7 @@
 
 // Whether callers of the look-up may be sent to this host; if so, the use of it is noted. Within the callers' own
 // region nothing is spent: that is no shift.
-bool Steering::Impl::spendLookup(const LookupArrived &event, HostId host)
+bool Steering::Impl::reserveLookup(const LookupArrived &event, HostId host)
 {
     const ServiceId service = event.service;
     const RegionId from = event.callerZone ? m_bundle->regionOf(*event.callerZone) : m_region;
@@ -122,7 +122,8 @@
 std::vector<HostId> Steering::Impl::rankHosts(const LookupArrived &event)
 {
     std::vector<HostId> hosts = candidateHosts(event);
-    const auto first = std::find_if(hosts.begin(), hosts.end(), [&](HostId host) { return spendLookup(event, host); });
+    const auto first =
+        std::find_if(hosts.begin(), hosts.end(), [&](HostId host) { return reserveLookup(event, host); });
     if (first != hosts.end()) {
         std::rotate(hosts.begin(), first, first + 1);
     }
