--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -154,7 +154,7 @@
     double slotsPerLookup(ServiceId service) const;
     bool reserveLookup(const LookupArrived &event, HostId host);
     bool serves(ZoneId zone, ServiceId service) const;
-    std::optional<HomeToken> homeTokenOf(HostId host) const;
+    std::optional<HomeToken> ownerTokenOf(HostId host) const;
 
     // Steering.cpp
     void pollLeases();
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -145,7 +145,7 @@
 
 // The home of a caller's operations is the host that it is sent to: no hop is needed then, and a host that is leaving
 // gives nobody its own ledger any more, which will soon be gone.
-std::optional<HomeToken> Steering::Impl::homeTokenOf(HostId host) const
+std::optional<HomeToken> Steering::Impl::ownerTokenOf(HostId host) const
 {
     if (host == *m_self) {
         return m_ledger.token(m_now);
@@ -173,7 +173,7 @@
     if (isOwnCaller && answer.hosts.front() == *m_self) {
         m_homeLookups[idx(event.service)].add(m_now + answer.ttl, 1);
     }
-    answer.ownerToken = homeTokenOf(answer.hosts.front());
+    answer.ownerToken = ownerTokenOf(answer.hosts.front());
     answer.bundleVersion = m_bundle->version;
 
     Decision decision;
