--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -158,7 +158,7 @@
 
     // Steering.cpp
     void pollLeases();
-    HostStatus ownState() const;
+    HostStatus ownStatus() const;
     unsigned localNeed(ServiceId service) const;
     unsigned localCapacity(ServiceId service) const;
     std::vector<unsigned> capacities() const;
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -71,7 +71,7 @@
     m_holder.recordContact(event.holder, {request.configIndex, request.leaving, request.ledgerId, request.ledgerAge},
                            m_now);
     LeaseGrant grant = m_issuer.handleRequest(event.holder, event.request, capacities(), localNeeds(), m_now);
-    const HostStatus own = ownState();
+    const HostStatus own = ownStatus();
     grant.configIndex = own.configIndex;
     grant.leaving = own.isLeaving;
     grant.ledgerId = own.ledgerId;
@@ -157,10 +157,10 @@
         const unsigned room = capacity > takenByOthers ? capacity - takenByOthers : 0;
         overflow[n] = demand > room ? demand - room : 0;
     }
-    m_holder.poll(overflow, ownState(), m_now, *m_out);
+    m_holder.poll(overflow, ownStatus(), m_now, *m_out);
 }
 
-HostStatus Steering::Impl::ownState() const
+HostStatus Steering::Impl::ownStatus() const
 {
     const HomeToken token = m_ledger.token(m_now);
     const bool isLeaving = m_stopAskedAt.has_value() || isDrainedHost(*m_self);
