--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -71,11 +71,11 @@
             m_drainedHosts[idx(*host)] = true;
         }
     }
-    tell("config in force", "index " + std::to_string(m_index),
-         "bundle " + std::to_string(m_bundle->version) + " " + m_bundle->digest.substr(0, 12));
+    reportChange("config in force", "index " + std::to_string(m_index),
+                 "bundle " + std::to_string(m_bundle->version) + " " + m_bundle->digest.substr(0, 12));
     m_self = self;
     if (!self) {
-        tell("host not in bundle", m_settings.hostName);
+        reportChange("host not in bundle", m_settings.hostName);
         return;
     }
     m_zone = m_bundle->hosts[idx(*self)].zone;
@@ -159,11 +159,11 @@
     if (m_guard.refresh(m_holder, m_now)) {
         m_pool.setSlots(m_guard.slots());
         m_pool.refresh(m_now, *m_out);
-        tell("slice taken over", m_settings.hostName, "index " + std::to_string(m_index));
+        reportChange("slice taken over", m_settings.hostName, "index " + std::to_string(m_index));
     }
     const bool isValid = m_guard.isValid(m_holder, m_now);
     if (isValid != m_sliceValid) {
-        tell(isValid ? "slice valid" : "slice expired", m_settings.hostName);
+        reportChange(isValid ? "slice valid" : "slice expired", m_settings.hostName);
     }
     m_sliceValid = isValid;
 }
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -166,7 +166,7 @@
     void runTimers();
     void checkStop();
     void checkPeers();
-    void tell(std::string what, std::string subject, std::string detail = {});
+    void reportChange(std::string what, std::string subject, std::string detail = {});
 
     enum class TimerKind { Deadline, Hedge };
     struct Timer {
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -29,7 +29,7 @@
 {
 }
 
-void Steering::Impl::tell(std::string what, std::string subject, std::string detail)
+void Steering::Impl::reportChange(std::string what, std::string subject, std::string detail)
 {
     m_out->emplace_back(StateChange{std::move(what), std::move(subject), std::move(detail)});
 }
@@ -113,7 +113,7 @@
     }
     m_stopAskedAt = m_now;
     m_holder.makeAllDue();
-    tell("stop asked", m_settings.hostName);
+    reportChange("stop asked", m_settings.hostName);
 }
 
 void Steering::Impl::handle(const Tick &)
@@ -190,7 +190,7 @@
     for (const HostId host : m_holder.issuers()) {
         const bool isAlive = m_holder.isAlive(host, m_now);
         if (m_alive[idx(host)] != isAlive) {
-            tell(isAlive ? "host heard again" : "host lost", m_bundle->hosts[idx(host)].name);
+            reportChange(isAlive ? "host heard again" : "host lost", m_bundle->hosts[idx(host)].name);
         }
         m_alive[idx(host)] = isAlive;
     }
@@ -209,7 +209,7 @@
         return;
     }
     m_stopTold = true;
-    tell("stop ready", m_settings.hostName);
+    reportChange("stop ready", m_settings.hostName);
     m_out->emplace_back(StopReady{});
 }
 
