--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -121,8 +121,8 @@
     void startAtHost(Request &request, HostId host, Reason reason, bool toOwner);
     void refuse(Request &request, Outcome outcome, Reason reason, const std::string &peer);
     Milliseconds retryAfter(const Request &request, Reason reason) const;
-    void log(const Request &request, Reason reason, std::optional<TargetId> target, std::optional<HostId> host,
-             unsigned attempt);
+    void logDecision(const Request &request, Reason reason, std::optional<TargetId> target, std::optional<HostId> host,
+                     unsigned attempt);
 
     // Attempts.cpp
     void endAttempt(Request &request, Attempt &attempt, AttemptResult result);
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -242,7 +242,7 @@
     releaseCharge(request);
     request.phase = Phase::Queued;
     queue.push_back(request.info.id);
-    log(request, Reason::Queued, std::nullopt, std::nullopt, 0);
+    logDecision(request, Reason::Queued, std::nullopt, std::nullopt, 0);
     return true;
 }
 
@@ -299,8 +299,8 @@
     request.phase = Phase::Running;
     request.triedTargets.push_back(target);
     request.attempts.push_back(attempt);
-    log(request, attempt.number == 0 || reason == Reason::Hedge ? reason : Reason::Retry, target, std::nullopt,
-        attempt.number);
+    logDecision(request, attempt.number == 0 || reason == Reason::Hedge ? reason : Reason::Retry, target, std::nullopt,
+                attempt.number);
     m_out->emplace_back(Dispatch{request.info.id, attempt.number, target, request.info.deadline});
     const bool mayHedge = request.info.cls == RouteClass::Read && !request.hedged && !request.info.forwardedBy;
     if (mayHedge && m_pool.meanLatency(request.info.service) > Duration{}) {
@@ -321,7 +321,7 @@
     request.phase = Phase::Running;
     request.triedHosts.push_back(host);
     request.attempts.push_back(attempt);
-    log(request, reason, std::nullopt, host, attempt.number);
+    logDecision(request, reason, std::nullopt, host, attempt.number);
     m_out->emplace_back(Forward{request.info.id, attempt.number, host, request.info.deadline, toOwner});
 }
 
@@ -357,7 +357,7 @@
     cancelAttempts(request);
     releaseCharge(request);
     if (m_self) {
-        log(request, reason, std::nullopt, std::nullopt, 0);
+        logDecision(request, reason, std::nullopt, std::nullopt, 0);
     }
     if (request.holdsClaim && closeClaim(request, refusal)) {
         return;
@@ -370,8 +370,8 @@
     }
 }
 
-void Steering::Impl::log(const Request &request, Reason reason, std::optional<TargetId> target,
-                         std::optional<HostId> host, unsigned attempt)
+void Steering::Impl::logDecision(const Request &request, Reason reason, std::optional<TargetId> target,
+                                 std::optional<HostId> host, unsigned attempt)
 {
     Decision decision;
     decision.id = request.info.id;
