--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -236,7 +236,7 @@
     } else if (request.phase == Phase::AwaitingCloseSync) {
         return; // the refusal is on its way and is certain; it waits for the disk alone
     } else {
-        const bool maybeRan = wasRunning || request.sent || request.phase == Phase::AwaitingOther;
+        const bool maybeRan = wasRunning || request.sent || request.phase == Phase::AwaitingEarlierRequest;
         refuse(request, maybeRan ? Outcome::Unknown : Outcome::NotRun, Reason::DeadlinePassed, {});
     }
     runQueue(service);
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -32,7 +32,7 @@
 enum class Phase {
     AwaitingClaimSync, ///< its claim is on the way to the disk
     AwaitingCloseSync, ///< its claim is being closed as not run
-    AwaitingOther, ///< an earlier request with the same key runs
+    AwaitingEarlierRequest, ///< an earlier request with the same key runs
     Queued,
     Running,
     Detached, ///< a once-only operation whose caller has been answered or has left
--- a/lib/Steer/OnceFlow.cpp
+++ b/lib/Steer/OnceFlow.cpp
@@ -34,7 +34,7 @@
         m_out->emplace_back(SyncClaim{request.info.id, m_ledger.recordOf(request.info.key, m_now), true});
         return false;
     case ClaimVerdict::InProgress:
-        request.phase = Phase::AwaitingOther;
+        request.phase = Phase::AwaitingEarlierRequest;
         m_waiters[request.info.key].push_back(request.info.id);
         return false;
     case ClaimVerdict::Answered:
@@ -148,7 +148,7 @@
     m_waiters.erase(it);
     for (const RequestId id : ids) {
         const auto found = m_requests.find(id);
-        if (found != m_requests.end() && found->second.phase == Phase::AwaitingOther) {
+        if (found != m_requests.end() && found->second.phase == Phase::AwaitingEarlierRequest) {
             [[maybe_unused]] const bool isGranted = claim(found->second);
             assert(!isGranted && "an ended claim was granted again");
         }
