--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -110,7 +110,7 @@
 void Steering::Impl::endAttempt(Request &request, Attempt &attempt, AttemptResult result)
 {
     attempt.isRunning = false;
-    request.sent |= !isCertainlyNotRun(result);
+    request.maybeSent |= !isCertainlyNotRun(result);
     if (attempt.target) {
         m_pool.endRequest(*attempt.target, evidenceOf(result), m_now - attempt.startedAt, m_now, *m_out);
     }
@@ -162,7 +162,7 @@
             return;
         }
     }
-    refuse(request, request.sent ? Outcome::Unknown : Outcome::NotRun, reason, peer);
+    refuse(request, request.maybeSent ? Outcome::Unknown : Outcome::NotRun, reason, peer);
 }
 
 bool Steering::Impl::takeRetryToken()
@@ -181,7 +181,7 @@
             continue;
         }
         attempt.isRunning = false;
-        request.sent = true;
+        request.maybeSent = true;
         const Duration took = m_now - attempt.startedAt;
         if (attempt.target) {
             const Duration mean = m_pool.meanLatency(request.info.service);
@@ -236,7 +236,7 @@
     } else if (request.phase == Phase::AwaitingCloseSync) {
         return; // the refusal is on its way and is certain; it waits for the disk alone
     } else {
-        const bool maybeRan = wasRunning || request.sent || request.phase == Phase::AwaitingEarlierRequest;
+        const bool maybeRan = wasRunning || request.maybeSent || request.phase == Phase::AwaitingEarlierRequest;
         refuse(request, maybeRan ? Outcome::Unknown : Outcome::NotRun, Reason::DeadlinePassed, {});
     }
     runQueue(service);
--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -142,7 +142,7 @@
             }
         }
         if (request.phase != Phase::Detached) {
-            const Outcome outcome = request.sent ? Outcome::Unknown : Outcome::NotRun;
+            const Outcome outcome = request.maybeSent ? Outcome::Unknown : Outcome::NotRun;
             m_out->emplace_back(Refuse{id, outcome, Reason::NotReady, Milliseconds{}, {}});
         }
         m_requests.erase(id);
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -45,7 +45,7 @@
     bool isCharged = false; ///< counted at the issuer
     bool isCounted = false; ///< part of the demand estimate
     bool holdsClaim = false;
-    bool sent = false; ///< a target or another host may have got it
+    bool maybeSent = false; ///< a target or another host may have got it
     bool hedged = false;
     TimePoint arrivedAt{};
     std::vector<Attempt> attempts;
--- a/lib/Steer/OnceFlow.cpp
+++ b/lib/Steer/OnceFlow.cpp
@@ -110,7 +110,7 @@
     std::optional<LedgerRecord> record;
     if (isAnswered) {
         record = m_ledger.answered(request.info.key, event.answer, m_now);
-    } else if (request.sent) {
+    } else if (request.maybeSent) {
         record = m_ledger.markUnknown(request.info.key, m_now);
     } else {
         record = m_ledger.closeNotRun(request.info.key, m_now);
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -275,7 +275,7 @@
         if (willMissDeadline(request)) {
             queue.pop_front();
             // A read that waits for another attempt may have run in its first.
-            refuse(request, request.sent ? Outcome::Unknown : Outcome::NotRun, Reason::NoCapacity, {});
+            refuse(request, request.maybeSent ? Outcome::Unknown : Outcome::NotRun, Reason::NoCapacity, {});
             continue;
         }
         if (!tryLocal(request)) {
