--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -208,7 +208,7 @@
     if (it == m_requests.end()) {
         return;
     }
-    if (it->second.isCounted) {
+    if (it->second.countsAsDemand) {
         m_demand[idx(it->second.info.service)].requestEnded();
     }
     m_requests.erase(it);
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -43,7 +43,7 @@
     Charge charge;
     Phase phase = Phase::Queued;
     bool isCharged = false; ///< counted at the issuer
-    bool isCounted = false; ///< part of the demand estimate
+    bool countsAsDemand = false; ///< part of the demand estimate
     bool holdsClaim = false;
     bool maybeSent = false; ///< a target or another host may have got it
     bool hedged = false;
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -52,7 +52,7 @@
     request.info.deadline = std::min(event.deadline, m_now + m_bundle->services[idx(event.service)].maxDeadline);
     if (request.charge.kind == Charge::Kind::Local) {
         m_demand[idx(event.service)].requestArrived();
-        request.isCounted = true;
+        request.countsAsDemand = true;
     }
     m_timers.push({request.info.deadline, event.id, TimerKind::Deadline});
     if (event.cls == RouteClass::Read) {
