--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -274,7 +274,7 @@
         return;
     }
     const ServiceId service = request.info.service;
-    const bool hasRoom = m_issuer.committed(service) < localCapacity(service) && m_queues[idx(service)].home.empty();
+    const bool hasRoom = m_issuer.committed(service) < localCapacity(service) && m_queues[idx(service)].local.empty();
     const auto target = hasRoom ? m_pool.choose(service, request.triedTargets, m_now, m_random) : std::nullopt;
     if (!target || !takeRetryToken()) {
         return;
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -57,12 +57,12 @@
 /// Requests that wait for a slot. Callers of other regions wait apart, by region: what holds them up, a cap or their
 /// share, must not hold up own callers.
 struct ServiceQueue {
-    std::deque<RequestId> home;
+    std::deque<RequestId> local;
     std::map<RegionId, std::deque<RequestId>> foreign;
 
     std::size_t size() const
     {
-        std::size_t sum = home.size();
+        std::size_t sum = local.size();
         for (const auto &[region, queue] : foreign) {
             sum += queue.size();
         }
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -140,7 +140,7 @@
         return false;
     }
     auto host = m_holder.chooseWithSpare(request.info.service, m_region, request.triedHosts, m_now);
-    if (!host && !m_queues[idx(request.info.service)].home.empty()) {
+    if (!host && !m_queues[idx(request.info.service)].local.empty()) {
         // What a neighbour said is a little old; where own callers wait here already, asking it costs least.
         host = m_holder.chooseAlive(m_region, request.triedHosts, m_now);
     }
@@ -189,18 +189,18 @@
     const unsigned takenByOthers = committed - m_issuer.localUsed(service);
     const unsigned capacity = localCapacity(service);
     const unsigned slots = capacity > takenByOthers ? capacity - takenByOthers : 0;
-    return queueWait(service, m_queues[idx(service)].home.size(), slots);
+    return queueWait(service, m_queues[idx(service)].local.size(), slots);
 }
 
 std::deque<RequestId> &Steering::Impl::queueOf(const Request &request)
 {
     ServiceQueue &queues = m_queues[idx(request.info.service)];
-    return request.charge.kind == Charge::Kind::Local ? queues.home : queues.foreign[request.charge.region];
+    return request.charge.kind == Charge::Kind::Local ? queues.local : queues.foreign[request.charge.region];
 }
 
 bool Steering::Impl::noneQueuedAhead(const Request &request)
 {
-    return m_queues[idx(request.info.service)].home.empty() && queueOf(request).empty();
+    return m_queues[idx(request.info.service)].local.empty() && queueOf(request).empty();
 }
 
 std::optional<RegionId> Steering::Impl::forwardRegion(const Charge &charge) const
@@ -232,7 +232,7 @@
     if (request.charge.kind == Charge::Kind::Region) {
         const unsigned held = m_issuer.heldByRegion(request.charge.region, service);
         // Behind own callers who wait already, the wait has no bound.
-        limit = m_queues[idx(service)].home.empty() ? std::min<std::size_t>(limit, held * ForeignTurns) : 0;
+        limit = m_queues[idx(service)].local.empty() ? std::min<std::size_t>(limit, held * ForeignTurns) : 0;
         wait = queueWait(service, queue.size(), held);
     }
     const bool isTooLate = m_now + wait + m_pool.meanLatency(service) >= request.info.deadline;
@@ -254,8 +254,8 @@
 // Requests that can no longer be served in time are answered here and now, not held until their deadline.
 void Steering::Impl::runQueue(ServiceId service)
 {
-    runQueue(service, m_queues[idx(service)].home);
-    if (!m_queues[idx(service)].home.empty()) {
+    runQueue(service, m_queues[idx(service)].local);
+    if (!m_queues[idx(service)].local.empty()) {
         return; // own callers first
     }
     for (auto &[region, queue] : m_queues[idx(service)].foreign) {
