--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -51,7 +51,7 @@
         ids.services.apply(m_homeLookups);
         ids.services.apply(m_queues);
         for (ServiceQueue &queue : m_queues) {
-            ids.regions.apply(queue.foreign);
+            ids.regions.apply(queue.otherRegions);
         }
         ids.hosts.apply(m_alive);
         remapRequests(ids);
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -58,12 +58,12 @@
 /// share, must not hold up own callers.
 struct ServiceQueue {
     std::deque<RequestId> local;
-    std::map<RegionId, std::deque<RequestId>> foreign;
+    std::map<RegionId, std::deque<RequestId>> otherRegions;
 
     std::size_t size() const
     {
         std::size_t sum = local.size();
-        for (const auto &[region, queue] : foreign) {
+        for (const auto &[region, queue] : otherRegions) {
             sum += queue.size();
         }
         return sum;
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -195,7 +195,7 @@
 std::deque<RequestId> &Steering::Impl::queueOf(const Request &request)
 {
     ServiceQueue &queues = m_queues[idx(request.info.service)];
-    return request.charge.kind == Charge::Kind::Local ? queues.local : queues.foreign[request.charge.region];
+    return request.charge.kind == Charge::Kind::Local ? queues.local : queues.otherRegions[request.charge.region];
 }
 
 bool Steering::Impl::noneQueuedAhead(const Request &request)
@@ -258,7 +258,7 @@
     if (!m_queues[idx(service)].local.empty()) {
         return; // own callers first
     }
-    for (auto &[region, queue] : m_queues[idx(service)].foreign) {
+    for (auto &[region, queue] : m_queues[idx(service)].otherRegions) {
         runQueue(service, queue);
     }
 }
