--- a/lib/Steer/ExpiringCount.h
+++ b/lib/Steer/ExpiringCount.h
@@ -1,6 +1,7 @@
-//===- ExpiringCount.h - A count of things that end by themselves -*- C++ -*-===//
+//===- ExpiringCount.h - A sum whose entries expire --------------*- C++ -*-===//
 //
-// Sums the slots that look-up answers stand for which callers keep for a time.
+// Sums the slots that callers with a cached look-up answer are expected to use,
+// until the answers expire.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -12,13 +13,16 @@
 namespace pepperlug
 {
 
+/// Sum of slots that expire at given times. Entries are added in order of their expiry; an
+/// entry that expires earlier than the last one is kept as long as that.
 class ExpiringCount
 {
 public:
     void add(TimePoint expires, double slots)
     {
-        // Grains keep the queue short: a thousand answers that end within one grain are one entry.
-        const TimePoint rounded(((expires.time_since_epoch() / Grain) + 1) * Grain);
+        // Expiry is rounded up to keep the queue short: all answers that expire within one resolution step are one
+        // entry.
+        const TimePoint rounded(((expires.time_since_epoch() / Resolution) + 1) * Resolution);
         if (m_entries.empty() || m_entries.back().expires < rounded) {
             m_entries.push_back({rounded, 0});
         }
@@ -33,7 +37,7 @@
             m_entries.pop_front();
         }
         if (m_entries.empty()) {
-            m_total = 0; // drops what rounding has left
+            m_total = 0; // drops the accumulated rounding error
         }
     }
 
@@ -42,15 +46,15 @@
         return m_total;
     }
 
-    /// Whole slots that the answers stand for, rounded up.
+    /// Returns the sum in whole slots, rounded up.
     unsigned slots() const
     {
-        return static_cast<unsigned>(std::ceil(m_total - Rounding));
+        return static_cast<unsigned>(std::ceil(m_total - RoundingTolerance));
     }
 
 private:
-    static constexpr Duration Grain = Milliseconds(50);
-    static constexpr double Rounding = 1e-6;
+    static constexpr Duration Resolution = Milliseconds(50);
+    static constexpr double RoundingTolerance = 1e-6;
 
     struct Entry {
         TimePoint expires;
--- a/lib/Steer/HostChoosers.h
+++ b/lib/Steer/HostChoosers.h
@@ -1,7 +1,7 @@
 //===- HostChoosers.h - Baselines for the choice of a host -------*- C++ -*-===//
 //
-// The ways to place a request without leases that measurements compare with.
-// Each is a small type that meets HostChooser.
+// Placement strategies without leases, as baselines for measurements. Each is a
+// type that satisfies HostChooser.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -13,7 +13,7 @@
 namespace pepperlug
 {
 
-/// What a baseline may know: this host, all others, and what they reported last.
+/// Input of a baseline: this host, all other hosts, and their last reports.
 struct ChooserInput {
     const Bundle &bundle;
     const LeaseHolder &holder;
@@ -23,6 +23,7 @@
     TimePoint now{};
 };
 
+/// Requirement on a baseline.
 template <typename T>
 concept HostChooser = requires(T chooser, const ChooserInput &input)
 {
@@ -31,6 +32,7 @@
         } -> std::same_as<HostId>;
 };
 
+/// Chooses this host.
 struct NearestChooser {
     HostId choose(const ChooserInput &input)
     {
@@ -38,6 +40,7 @@
     }
 };
 
+/// Chooses each live host in turn.
 struct RoundRobinChooser {
     std::size_t next = 0;
 
@@ -54,6 +57,7 @@
     }
 };
 
+/// Chooses the live host that reports the most spare slots.
 struct ReportedLoadChooser {
     HostId choose(const ChooserInput &input)
     {
--- a/lib/Steer/IdMap.h
+++ b/lib/Steer/IdMap.h
@@ -1,7 +1,8 @@
-//===- IdMap.h - From the ids of one bundle to those of the next -*- C++ -*-===//
+//===- IdMap.h - Maps the ids of one bundle to those of the next -*- C++ -*-===//
 //
-// Ids are positions in a bundle. When another bundle comes into force, all that
-// is known by id is moved to the positions that the same names have there.
+// An id is an index into a list of the bundle. When another bundle comes into
+// force, state that is keyed by id is moved to the ids that the same names have
+// in the new bundle.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -11,6 +12,7 @@
 namespace pepperlug
 {
 
+/// Map from the ids of one list of a bundle to those of the next bundle, by name.
 template <typename Id>
 class IdTable
 {
@@ -19,22 +21,24 @@
     IdTable(const std::vector<Item> &from, const std::vector<Item> &to)
         : m_newSize(to.size())
     {
-        std::map<std::string, std::size_t> positions;
+        std::map<std::string, std::size_t> indices;
         for (std::size_t n = 0; n < to.size(); ++n) {
-            positions.emplace(to[n].name, n);
+            indices.emplace(to[n].name, n);
         }
         for (const Item &item : from) {
-            const auto it = positions.find(item.name);
-            m_table.push_back(it == positions.end() ? std::nullopt : std::optional<Id>(makeId<Id>(it->second)));
+            const auto it = indices.find(item.name);
+            m_table.push_back(it == indices.end() ? std::nullopt : std::optional<Id>(makeId<Id>(it->second)));
         }
     }
 
+    /// Returns the new id, or nothing if the new bundle doesn't have the name.
     std::optional<Id> operator()(Id id) const
     {
         return idx(id) < m_table.size() ? m_table[idx(id)] : std::nullopt;
     }
 
-    /// Moves the items of a vector that is indexed by this id; new positions get a fresh item.
+    /// Moves the items of a vector indexed by id; new ids get a default-constructed item, items without a new id are
+    /// dropped.
     template <typename Item>
     void apply(std::vector<Item> &items) const
     {
@@ -47,7 +51,7 @@
         items = std::move(moved);
     }
 
-    /// Moves the items of a map that is keyed by this id; those without a new position are dropped.
+    /// Moves the items of a map keyed by id; items without a new id are dropped.
     template <typename Item>
     void apply(std::map<Id, Item> &items) const
     {
@@ -65,6 +69,7 @@
     std::size_t m_newSize;
 };
 
+/// Maps for all lists of a bundle.
 struct IdMap {
     IdTable<RegionId> regions;
     IdTable<ZoneId> zones;
