--- a/lib/Steer/ShiftMeter.cpp
+++ b/lib/Steer/ShiftMeter.cpp
@@ -1,6 +1,6 @@
-//===- ShiftMeter.cpp - Caps on shifts, over every interval ---------------===//
+//===- ShiftMeter.cpp - Shift caps over a sliding interval ----------------===//
 //
-// Growth is counted gross over a sliding window: whatever was given back in between does not pay for new growth. So the
+// Growth is counted gross over a sliding window: slots that are given back in between do not offset new growth. So the
 // net growth over any interval, wherever it starts, stays within the cap.
 //
 //===----------------------------------------------------------------------===//
@@ -21,32 +21,32 @@
 
 void ShiftMeter::setLinkLimit(std::optional<unsigned> slots)
 {
-    m_link = slots;
+    m_linkLimit = slots;
 }
 
-void ShiftMeter::forget(TimePoint now)
+void ShiftMeter::expireGrowth(TimePoint now)
 {
-    while (!m_growths.empty() && m_growths.front().at + m_interval < now) {
-        m_recent -= m_growths.front().slots;
-        m_growths.pop_front();
+    while (!m_recentGrowth.empty() && m_recentGrowth.front().at + m_interval < now) {
+        m_recentSlots -= m_recentGrowth.front().slots;
+        m_recentGrowth.pop_front();
     }
 }
 
 unsigned ShiftMeter::allowedByCap(unsigned wanted, TimePoint now)
 {
-    forget(now);
+    expireGrowth(now);
     if (!m_cap) {
         return wanted;
     }
-    return std::min(wanted, *m_cap > m_recent ? *m_cap - m_recent : 0);
+    return std::min(wanted, *m_cap > m_recentSlots ? *m_cap - m_recentSlots : 0);
 }
 
 unsigned ShiftMeter::allowedByLink(unsigned wanted, unsigned inUse) const
 {
-    if (!m_link) {
+    if (!m_linkLimit) {
         return wanted;
     }
-    return std::min(wanted, *m_link > inUse ? *m_link - inUse : 0);
+    return std::min(wanted, *m_linkLimit > inUse ? *m_linkLimit - inUse : 0);
 }
 
 void ShiftMeter::recordGrowth(unsigned slots, TimePoint now)
@@ -54,8 +54,8 @@
     if (slots == 0 || !m_cap) {
         return;
     }
-    m_growths.push_back({now, slots});
-    m_recent += slots;
+    m_recentGrowth.push_back({now, slots});
+    m_recentSlots += slots;
 }
 
 std::optional<unsigned> ShiftMeter::cap() const
@@ -70,12 +70,12 @@
 
 std::optional<unsigned> ShiftMeter::linkLimit() const
 {
-    return m_link;
+    return m_linkLimit;
 }
 
 unsigned shareOf(unsigned whole, const std::vector<unsigned> &weights, std::size_t owner)
 {
-    assert(owner < weights.size() && "an owner without a weight asks for its part");
+    assert(owner < weights.size() && "the owner has no weight");
     const std::uint64_t total = std::accumulate(weights.begin(), weights.end(), std::uint64_t{0});
     if (total == 0) {
         return 0;
--- a/lib/Steer/ShiftMeter.h
+++ b/lib/Steer/ShiftMeter.h
@@ -1,7 +1,7 @@
-//===- ShiftMeter.h - This host's part of a shift cap and a link --*- C++ -*-===//
+//===- ShiftMeter.h - This host's share of a shift cap and a link -*- C++ -*-===//
 //
-// Meters how fast callers of one region may grow their use of this host, and
-// how much of the link between the regions they may fill.
+// Limits how fast callers of one region may increase their use of this host,
+// and how many slots of the link between the regions they may use.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -11,17 +11,18 @@
 namespace pepperlug
 {
 
+/// Meter of the shift from one region to this host. Without a cap or a link limit, any growth is allowed.
 class ShiftMeter
 {
 public:
     void setCap(std::optional<unsigned> slots, Duration interval);
     void setLinkLimit(std::optional<unsigned> slots);
 
-    /// Slots by which the level may grow now, at most `wanted`.
+    /// Returns the number of slots by which the level may grow now, at most `wanted`.
     unsigned allowedByCap(unsigned wanted, TimePoint now);
-    /// Slots more that the link takes, at most `wanted`, with `inUse` of them taken.
+    /// Returns the number of further slots that the link limit allows, at most `wanted`, with `inUse` already in use.
     unsigned allowedByLink(unsigned wanted, unsigned inUse) const;
-    /// Notes growth that was granted; allowedByCap() must have covered it.
+    /// Records granted growth, which allowedByCap() must have allowed.
     void recordGrowth(unsigned slots, TimePoint now);
 
     std::optional<unsigned> cap() const;
@@ -29,7 +30,7 @@
     std::optional<unsigned> linkLimit() const;
 
 private:
-    void forget(TimePoint now);
+    void expireGrowth(TimePoint now);
 
     struct Growth {
         TimePoint at;
@@ -37,13 +38,14 @@
     };
 
     std::optional<unsigned> m_cap;
-    std::optional<unsigned> m_link;
+    std::optional<unsigned> m_linkLimit;
     Duration m_interval{};
-    std::deque<Growth> m_growths;
-    unsigned m_recent = 0; ///< sum of m_growths
+    std::deque<Growth> m_recentGrowth;
+    unsigned m_recentSlots = 0; ///< sum of m_growths
 };
 
-/// The part of `whole` that falls to one of several owners with these weights, so that all parts sum to the whole.
+/// Returns the share of `whole` of one of several owners, in proportion to `weights`. The shares of all owners sum to
+/// `whole`.
 unsigned shareOf(unsigned whole, const std::vector<unsigned> &weights, std::size_t owner);
 
 } // namespace pepperlug
--- a/lib/Steer/SliceGuard.cpp
+++ b/lib/Steer/SliceGuard.cpp
@@ -1,8 +1,8 @@
-//===- SliceGuard.cpp - Slices with a lease of their own ------------------===//
+//===- SliceGuard.cpp - Leases of slices ----------------------------------===//
 //
 // Two hosts of one zone may have different configurations in force for a while. The sum over them stays within the
-// targets' slots because each host uses the lesser of its old and its new slice until all hosts concerned have said
-// that they have the new one, or have been out of touch so long that their slices have run out.
+// targets' slots because each host uses the smaller of its old and its new slots on each target until all present and
+// former owners have reported the new configuration, or until every slice lease of the old one must have expired.
 //
 //===----------------------------------------------------------------------===//
 #include "SliceGuard.h"
@@ -15,8 +15,8 @@
 namespace
 {
 
-/// How many capacity leases the lease of a slice lasts.
-constexpr int LeasesInSlice = 3;
+/// Duration of a slice lease, in capacity lease times.
+constexpr int LeaseTimesPerSliceLease = 3;
 
 } // namespace
 
@@ -30,66 +30,67 @@
             owners.push_back(host);
         }
     }
-    std::vector<HostId> concerned;
+    std::vector<HostId> previousOwners;
     if (before != nullptr) {
         const IdMap ids(*before, bundle);
         ids.targets.apply(m_slots);
-        concerned = m_mustConfirm;
-        concerned.insert(concerned.end(), m_others.begin(), m_others.end());
-        for (HostId &host : concerned) {
-            // A host that was taken out of the bundle can't confirm; only time tells that its slice has run out.
+        previousOwners = m_awaitedOwners;
+        previousOwners.insert(previousOwners.end(), m_otherOwners.begin(), m_otherOwners.end());
+        for (HostId &host : previousOwners) {
+            // A host that was removed from the bundle can't report the new configuration, so its slice lease must
+            // expire first.
             const std::optional<HostId> moved = ids.hosts(host);
-            m_mustWaitOut |= !moved;
+            m_mustAwaitExpiry |= !moved;
             host = moved.value_or(self);
         }
-        std::erase(concerned, self);
+        std::erase(previousOwners, self);
     }
     m_slots.resize(bundle.targets.size(), 0);
     m_self = self;
     m_index = index;
     m_appliedAt = now;
-    m_sliceLease = bundle.policy.leaseTime * LeasesInSlice;
+    m_sliceLease = bundle.policy.leaseTime * LeaseTimesPerSliceLease;
     m_drift = bundle.policy.driftAllowance;
-    m_wanted = sliceOf(bundle, zone, owners, self);
-    m_others = owners;
-    std::erase(m_others, self);
-    m_mustConfirm = m_others;
-    for (const HostId host : concerned) {
-        if (std::find(m_mustConfirm.begin(), m_mustConfirm.end(), host) == m_mustConfirm.end()) {
-            m_mustConfirm.push_back(host);
+    m_assignedSlots = sliceOf(bundle, zone, owners, self);
+    m_otherOwners = owners;
+    std::erase(m_otherOwners, self);
+    m_awaitedOwners = m_otherOwners;
+    for (const HostId host : previousOwners) {
+        if (std::find(m_awaitedOwners.begin(), m_awaitedOwners.end(), host) == m_awaitedOwners.end()) {
+            m_awaitedOwners.push_back(host);
         }
     }
     for (std::size_t n = 0; n < m_slots.size(); ++n) {
-        m_slots[n] = std::min(m_slots[n], m_wanted[n]);
+        m_slots[n] = std::min(m_slots[n], m_assignedSlots[n]);
     }
 }
 
 void SliceGuard::handleControlReply(std::uint64_t index, TimePoint now)
 {
-    // An answer that knows of something newer renews nothing until that is in force here.
+    // A reply with a newer index does not renew the lease until that configuration is in force here.
     if (index <= m_index) {
-        m_controlHeard = now;
+        m_lastControlReply = now;
     }
 }
 
 bool SliceGuard::isValid(const LeaseHolder &holder, TimePoint now) const
 {
-    if (m_others.empty()) {
+    if (m_otherOwners.empty()) {
         return true;
     }
     const auto lease = std::chrono::duration_cast<Duration>(m_sliceLease * (1 - m_drift));
-    if (m_controlHeard && now < *m_controlHeard + lease) {
+    if (m_lastControlReply && now < *m_lastControlReply + lease) {
         return true;
     }
-    return std::all_of(m_others.begin(), m_others.end(), [&](HostId host) {
-        const std::optional<TimePoint> heard = holder.lastContact(host);
-        return heard && now < *heard + lease && holder.configIndex(host) <= m_index;
+    return std::all_of(m_otherOwners.begin(), m_otherOwners.end(), [&](HostId host) {
+        const std::optional<TimePoint> contact = holder.lastContact(host);
+        return contact && now < *contact + lease && holder.configIndex(host) <= m_index;
     });
 }
 
 bool SliceGuard::othersConfirmed(const LeaseHolder &holder) const
 {
-    return std::all_of(m_mustConfirm.begin(), m_mustConfirm.end(),
+    return std::all_of(m_awaitedOwners.begin(), m_awaitedOwners.end(),
                        [&](HostId host) { return holder.configIndex(host) >= m_index; });
 }
 
@@ -98,14 +99,14 @@
     if (!hasPendingSlots()) {
         return false;
     }
-    const auto surelyOver = std::chrono::duration_cast<Duration>(m_sliceLease * (1 + m_drift));
-    const bool waitedOut = now >= m_appliedAt + surelyOver && isValid(holder, now);
-    if (!waitedOut && (m_mustWaitOut || !othersConfirmed(holder))) {
+    const auto longestLease = std::chrono::duration_cast<Duration>(m_sliceLease * (1 + m_drift));
+    const bool leasesExpired = now >= m_appliedAt + longestLease && isValid(holder, now);
+    if (!leasesExpired && (m_mustAwaitExpiry || !othersConfirmed(holder))) {
         return false;
     }
-    m_mustWaitOut = false;
-    m_mustConfirm = m_others;
-    m_slots = m_wanted;
+    m_mustAwaitExpiry = false;
+    m_awaitedOwners = m_otherOwners;
+    m_slots = m_assignedSlots;
     return true;
 }
 
@@ -116,7 +117,7 @@
 
 bool SliceGuard::hasPendingSlots() const
 {
-    return m_slots != m_wanted;
+    return m_slots != m_assignedSlots;
 }
 
 } // namespace pepperlug
