--- a/lib/Steer/LeaseHolder.cpp
+++ b/lib/Steer/LeaseHolder.cpp
@@ -1,8 +1,8 @@
-//===- LeaseHolder.cpp - Use and renewal of borrowed capacity -------------===//
+//===- LeaseHolder.cpp - Use and renewal of leases ------------------------===//
 //
-// A lease is valid from the moment its request was sent, shortened by the allowed drift; so it ends here before it ends
-// at its issuer, whatever the messages took. From sending a request on, no earlier grant is used beyond the `keep`
-// stated in it: that is what lets the issuer shrink its reserve on receipt.
+// A lease is valid from the time at which its request was sent, and its duration is reduced by the allowed clock drift,
+// so it expires here before it expires at the issuer, regardless of message delays. Once a request is sent, earlier
+// grants are used only up to the `keep` in it, so the issuer may reduce its reservation when it receives the request.
 //
 //===----------------------------------------------------------------------===//
 #include "LeaseHolder.h"
@@ -17,19 +17,19 @@
 namespace
 {
 
-constexpr int ExchangesInLease = 5;
-constexpr int ExchangesUntilLost = 4;
-constexpr auto TimePerContact = Milliseconds(50); ///< so that all exchanges together cost a host a fixed rate
-constexpr std::size_t OwnZoneContacts = 8;
-constexpr std::size_t OtherZoneContacts = 8; ///< hosts outside the own zone
-constexpr std::size_t ContactsInZone = 2;
-constexpr std::size_t StandbyLeases = 3; ///< issuers asked for one slot in advance, so that a first overflow finds room
-constexpr unsigned PlentySlots = 3; ///< spare from which an issuer is asked for a slot in advance
-constexpr int HurriedExchanges = 4; ///< times as often while demand is not met
-constexpr double CreditShare = 0.5; ///< of an issuer's spare: other hosts send callers there, too
-constexpr unsigned KeepSlack = 1; ///< slots kept above the want, so that small swings need no regrowth
+constexpr int ExchangesPerLeaseTime = 5;
+constexpr int ExchangesUntilLost = 4; ///< a host counts as lost after this many exchange intervals without a message
+constexpr auto MinIntervalPerIssuer = Milliseconds(50); ///< bounds the rate of requests to all issuers together
+constexpr std::size_t OwnZoneIssuers = 8; ///< issuers in the own zone
+constexpr std::size_t OtherZoneIssuers = 8; ///< issuers in all other zones together
+constexpr std::size_t IssuersPerOtherZone = 2;
+constexpr std::size_t StandbyLeases = 3; ///< issuers of one slot in advance, so that a first overflow finds a lease
+constexpr unsigned MinStandbySpare = 3; ///< least spare and leased slots of the issuer of a standby lease
+constexpr int ShortfallRateFactor = 4; ///< factor on the rate of exchanges while demand exceeds the leases
+constexpr double CreditShare = 0.5; ///< share of an issuer's spare slots; other hosts name it to callers as well
+constexpr unsigned KeepSlack = 1; ///< slots above the want in `keep`, so that small swings need no new growth
 
-std::uint64_t rendezvous(const std::string &self, const std::string &other)
+std::uint64_t rendezvousScore(const std::string &self, const std::string &other)
 {
     return hash64(self + "|" + other);
 }
@@ -65,17 +65,18 @@
         return bundle.latency(ownZone, makeId<ZoneId>(lhs)) < bundle.latency(ownZone, makeId<ZoneId>(rhs));
     });
     m_issuers.clear();
-    std::size_t others = 0;
+    std::size_t otherZoneIssuers = 0;
     for (const std::size_t zone : zones) {
         std::vector<HostId> hosts = bundle.zones[zone].hosts;
         std::erase(hosts, self);
         const bool isOwn = makeId<ZoneId>(zone) == ownZone;
         std::sort(hosts.begin(), hosts.end(), [&](HostId lhs, HostId rhs) {
-            return rendezvous(ownName, bundle.hosts[idx(lhs)].name) < rendezvous(ownName, bundle.hosts[idx(rhs)].name);
+            return rendezvousScore(ownName, bundle.hosts[idx(lhs)].name)
+                < rendezvousScore(ownName, bundle.hosts[idx(rhs)].name);
         });
-        const std::size_t room = others < OtherZoneContacts ? OtherZoneContacts - others : 0;
-        hosts.resize(std::min(hosts.size(), isOwn ? OwnZoneContacts : std::min(ContactsInZone, room)));
-        others += isOwn ? 0 : hosts.size();
+        const std::size_t available = otherZoneIssuers < OtherZoneIssuers ? OtherZoneIssuers - otherZoneIssuers : 0;
+        hosts.resize(std::min(hosts.size(), isOwn ? OwnZoneIssuers : std::min(IssuersPerOtherZone, available)));
+        otherZoneIssuers += isOwn ? 0 : hosts.size();
         m_issuers.insert(m_issuers.end(), hosts.begin(), hosts.end());
     }
     for (const HostId host : m_issuers) {
@@ -106,21 +107,21 @@
 
 Duration LeaseHolder::exchangeInterval() const
 {
-    return std::max<Duration>(m_leaseTime / ExchangesInLease, TimePerContact * m_issuers.size());
+    return std::max<Duration>(m_leaseTime / ExchangesPerLeaseTime, MinIntervalPerIssuer * m_issuers.size());
 }
 
-unsigned LeaseHolder::freeSlots(const Held &held, TimePoint now) const
+unsigned LeaseHolder::freeSlots(const HeldLease &held, TimePoint now) const
 {
     if (now >= held.validUntil) {
         return 0;
     }
-    const unsigned limit = std::min(held.amount, held.kept);
+    const unsigned limit = std::min(held.amount, held.keepLimit);
     return limit > held.used ? limit - held.used : 0;
 }
 
-// What does not fit at home is asked of the nearest issuers first, each up to what it holds for us and says that it
-// has to spare. A remainder that nobody seems to have is asked of the nearest: spare figures are a little old.
-std::vector<unsigned> LeaseHolder::shareWants(ServiceId service, unsigned overflow, TimePoint now) const
+// Distributes the overflow to the nearest issuers first, each up to the present lease and the spare slots that it
+// reported. The remainder is requested from the nearest live issuer, since reported spare slots may be out of date.
+std::vector<unsigned> LeaseHolder::distributeWants(ServiceId service, unsigned overflow, TimePoint now) const
 {
     std::vector<unsigned> wants(m_issuers.size(), 0);
     std::optional<std::size_t> firstAlive;
@@ -130,13 +131,13 @@
             continue;
         }
         firstAlive = firstAlive.value_or(n);
-        const Held &held = find(m_issuers[n])->services[idx(service)];
-        const unsigned share = std::min(overflow, std::min(held.amount, held.kept) + held.spare);
+        const HeldLease &held = find(m_issuers[n])->services[idx(service)];
+        const unsigned share = std::min(overflow, std::min(held.amount, held.keepLimit) + held.spare);
         wants[n] = share;
         overflow -= share;
-        const bool hasPlenty =
-            held.spare + held.amount >= PlentySlots && m_regions[idx(m_issuers[n])] == m_regions[idx(m_self)];
-        if (share == 0 && standby < StandbyLeases && hasPlenty) {
+        const bool mayStandBy =
+            held.spare + held.amount >= MinStandbySpare && m_regions[idx(m_issuers[n])] == m_regions[idx(m_self)];
+        if (share == 0 && standby < StandbyLeases && mayStandBy) {
             wants[n] = 1;
             ++standby;
         }
@@ -157,23 +158,23 @@
     request.ledgerId = own.ledgerId;
     request.ledgerAge = own.ledgerAge;
     for (std::size_t n = 0; n < peer.services.size(); ++n) {
-        Held &held = peer.services[n];
+        HeldLease &held = peer.services[n];
         const unsigned want = own.isLeaving ? 0 : held.want;
-        const unsigned limit = now < held.validUntil ? std::min(held.amount, held.kept) : 0;
-        // What runs now can't be given back, and a request may outlive its lease.
-        held.kept = std::max(held.used, std::min(limit, want + (own.isLeaving ? 0 : KeepSlack)));
-        request.wants.push_back({static_cast<std::uint32_t>(n), held.kept, want});
+        const unsigned limit = now < held.validUntil ? std::min(held.amount, held.keepLimit) : 0;
+        // Slots in use can't be given back, and a request may outlive its lease.
+        held.keepLimit = std::max(held.used, std::min(limit, want + (own.isLeaving ? 0 : KeepSlack)));
+        request.wants.push_back({static_cast<std::uint32_t>(n), held.keepLimit, want});
     }
     return request;
 }
 
 bool LeaseHolder::isDue(const Peer &peer, Duration interval, TimePoint now) const
 {
-    return !peer.isAsking && now >= peer.askedAt + interval;
+    return !peer.isAwaitingReply && now >= peer.requestedAt + interval;
 }
 
-// Whether some service needs more than it has leased.
-bool LeaseHolder::isShort(const std::vector<unsigned> &overflow, TimePoint now) const
+// Returns true if the overflow of some service exceeds its leases.
+bool LeaseHolder::hasShortfall(const std::vector<unsigned> &overflow, TimePoint now) const
 {
     for (std::size_t n = 0; n < overflow.size(); ++n) {
         if (overflow[n] > heldSlots(makeId<ServiceId>(n), now)) {
@@ -185,14 +186,15 @@
 
 void LeaseHolder::poll(const std::vector<unsigned> &overflow, const HostStatus &own, TimePoint now, Effects &out)
 {
-    const Duration interval = isShort(overflow, now) ? exchangeInterval() / HurriedExchanges : exchangeInterval();
+    const Duration interval =
+        hasShortfall(overflow, now) ? exchangeInterval() / ShortfallRateFactor : exchangeInterval();
     const bool anyDue =
         std::any_of(m_issuers.begin(), m_issuers.end(), [&](HostId host) { return isDue(*find(host), interval, now); });
     if (!anyDue) {
         return;
     }
     for (std::size_t service = 0; service < m_services; ++service) {
-        const std::vector<unsigned> wants = shareWants(makeId<ServiceId>(service), overflow[service], now);
+        const std::vector<unsigned> wants = distributeWants(makeId<ServiceId>(service), overflow[service], now);
         for (std::size_t n = 0; n < m_issuers.size(); ++n) {
             peer(m_issuers[n]).services[service].want = wants[n];
         }
@@ -202,8 +204,8 @@
         if (!isDue(it, interval, now)) {
             continue;
         }
-        it.isAsking = true;
-        it.askedAt = now;
+        it.isAwaitingReply = true;
+        it.requestedAt = now;
         out.emplace_back(SendLeaseRequest{host, makeRequest(it, own, now), exchangeInterval() * 2});
     }
 }
@@ -211,29 +213,29 @@
 void LeaseHolder::makeAllDue()
 {
     for (auto &[id, it] : m_peers) {
-        it.askedAt = {};
+        it.requestedAt = {};
     }
 }
 
 bool LeaseHolder::handleGrant(HostId issuer, const LeaseGrant &grant, TimePoint now)
 {
     Peer &it = peer(issuer);
-    if (!it.isAsking || grant.sequence != it.sequence) {
+    if (!it.isAwaitingReply || grant.sequence != it.sequence) {
         return false;
     }
-    it.isAsking = false;
+    it.isAwaitingReply = false;
     recordContact(issuer, {grant.configIndex, grant.leaving, grant.ledgerId, grant.ledgerAge}, now);
     const auto valid = std::chrono::duration_cast<Duration>(grant.duration * (1 - m_drift));
     for (const ServiceGrant &service : grant.grants) {
         if (service.service >= it.services.size()) {
             continue;
         }
-        Held &held = it.services[service.service];
+        HeldLease &held = it.services[service.service];
         held.amount = service.amount;
-        held.kept = service.amount;
+        held.keepLimit = service.amount;
         held.spare = service.spare;
         held.credit = service.spare * CreditShare;
-        held.validUntil = it.askedAt + valid;
+        held.validUntil = it.requestedAt + valid;
     }
     return true;
 }
@@ -241,18 +243,18 @@
 void LeaseHolder::handleFailure(HostId issuer, std::uint64_t sequence)
 {
     Peer &it = peer(issuer);
-    if (it.isAsking && sequence == it.sequence) {
-        it.isAsking = false;
+    if (it.isAwaitingReply && sequence == it.sequence) {
+        it.isAwaitingReply = false;
     }
 }
 
-void LeaseHolder::recordContact(HostId host, const HostStatus &said, TimePoint now)
+void LeaseHolder::recordContact(HostId host, const HostStatus &status, TimePoint now)
 {
     Peer &it = peer(host);
-    const std::uint64_t index = std::max(it.said.configIndex, said.configIndex);
-    it.lastHeard = now;
-    it.said = said;
-    it.said.configIndex = index;
+    const std::uint64_t index = std::max(it.status.configIndex, status.configIndex);
+    it.lastContact = now;
+    it.status = status;
+    it.status.configIndex = index;
 }
 
 bool LeaseHolder::hasFreeSlots(HostId issuer, ServiceId service, TimePoint now) const
@@ -264,20 +266,21 @@
                                                const std::vector<HostId> &excluded, TimePoint now) const
 {
     std::optional<HostId> best;
-    unsigned bestRoom = 0;
+    unsigned bestFree = 0;
     for (const HostId host : m_issuers) {
         const bool isExcluded = std::find(excluded.begin(), excluded.end(), host) != excluded.end();
         if (isExcluded || (region && m_regions[idx(host)] != *region) || !hasFreeSlots(host, service, now)) {
             continue;
         }
-        // m_issuers is sorted by distance; hosts of one zone are equally near and the one with most room is taken.
+        // m_issuers is sorted by distance. Hosts of one zone are equally near; the one with the most free slots is
+        // chosen.
         if (best && m_zones[idx(*best)] != m_zones[idx(host)]) {
             break;
         }
-        const unsigned hostRoom = freeSlots(find(host)->services[idx(service)], now);
-        if (hostRoom > bestRoom) {
+        const unsigned hostFree = freeSlots(find(host)->services[idx(service)], now);
+        if (hostFree > bestFree) {
             best = host;
-            bestRoom = hostRoom;
+            bestFree = hostFree;
         }
     }
     return best;
@@ -286,14 +289,14 @@
 std::optional<HostId> LeaseHolder::chooseWithSpare(ServiceId service, RegionId region,
                                                    const std::vector<HostId> &excluded, TimePoint now)
 {
-    Held *best = nullptr;
+    HeldLease *best = nullptr;
     std::optional<HostId> bestHost;
     for (const HostId host : m_issuers) {
         const bool isExcluded = std::find(excluded.begin(), excluded.end(), host) != excluded.end();
         if (isExcluded || m_regions[idx(host)] != region || isLeaving(host) || !isAlive(host, now)) {
             continue;
         }
-        Held &held = peer(host).services[idx(service)];
+        HeldLease &held = peer(host).services[idx(service)];
         if (held.spare > (best == nullptr ? 0 : best->spare)) {
             best = &held;
             bestHost = host;
@@ -324,14 +327,14 @@
 
 void LeaseHolder::endUse(HostId issuer, ServiceId service)
 {
-    Held &held = peer(issuer).services[idx(service)];
-    assert(held.used > 0 && "a forwarded request ends that did not start");
+    HeldLease &held = peer(issuer).services[idx(service)];
+    assert(held.used > 0 && "endUse() without startUse()");
     --held.used;
 }
 
 bool LeaseHolder::spendLookupCredit(HostId host, ServiceId service, double slots)
 {
-    Held &held = peer(host).services[idx(service)];
+    HeldLease &held = peer(host).services[idx(service)];
     if (held.credit < slots) {
         return false;
     }
@@ -342,7 +345,7 @@
 unsigned LeaseHolder::freeSlots(HostId issuer, ServiceId service, TimePoint now) const
 {
     const Peer *it = find(issuer);
-    return it == nullptr || it->said.isLeaving ? 0 : freeSlots(it->services[idx(service)], now);
+    return it == nullptr || it->status.isLeaving ? 0 : freeSlots(it->services[idx(service)], now);
 }
 
 bool LeaseHolder::isAlive(HostId host, TimePoint now) const
@@ -351,48 +354,48 @@
         return true;
     }
     const Peer *it = find(host);
-    const bool isContact = std::find(m_issuers.begin(), m_issuers.end(), host) != m_issuers.end();
-    if (!isContact) {
+    const bool isIssuer = std::find(m_issuers.begin(), m_issuers.end(), host) != m_issuers.end();
+    if (!isIssuer) {
         return true;
     }
-    // One that was never heard gets as long as one that fell silent.
-    const TimePoint since = it != nullptr && it->lastHeard ? *it->lastHeard : m_appliedAt;
+    // An issuer without any message yet has as long, from the time at which the bundle was applied.
+    const TimePoint since = it != nullptr && it->lastContact ? *it->lastContact : m_appliedAt;
     return now < since + exchangeInterval() * ExchangesUntilLost;
 }
 
 bool LeaseHolder::isLeaving(HostId host) const
 {
     const Peer *it = find(host);
-    return it != nullptr && it->said.isLeaving;
+    return it != nullptr && it->status.isLeaving;
 }
 
 std::optional<HomeToken> LeaseHolder::ownerToken(HostId host, const std::string &name) const
 {
     const Peer *it = find(host);
-    if (it == nullptr || it->said.ledgerId.empty()) {
+    if (it == nullptr || it->status.ledgerId.empty()) {
         return std::nullopt;
     }
-    return HomeToken{name, it->said.ledgerId, it->said.ledgerAge};
+    return HomeToken{name, it->status.ledgerId, it->status.ledgerAge};
 }
 
 std::optional<TimePoint> LeaseHolder::lastContact(HostId host) const
 {
     const Peer *it = find(host);
-    return it == nullptr ? std::nullopt : it->lastHeard;
+    return it == nullptr ? std::nullopt : it->lastContact;
 }
 
 std::uint64_t LeaseHolder::configIndex(HostId host) const
 {
     const Peer *it = find(host);
-    return it == nullptr ? 0 : it->said.configIndex;
+    return it == nullptr ? 0 : it->status.configIndex;
 }
 
 unsigned LeaseHolder::heldSlots(ServiceId service, TimePoint now) const
 {
     unsigned sum = 0;
     for (const auto &[id, it] : m_peers) {
-        const Held &held = it.services[idx(service)];
-        sum += now < held.validUntil ? std::min(held.amount, held.kept) : 0;
+        const HeldLease &held = it.services[idx(service)];
+        sum += now < held.validUntil ? std::min(held.amount, held.keepLimit) : 0;
     }
     return sum;
 }
--- a/lib/Steer/LeaseHolder.h
+++ b/lib/Steer/LeaseHolder.h
@@ -1,7 +1,7 @@
-//===- LeaseHolder.h - Capacity borrowed from other hosts --------*- C++ -*-===//
+//===- LeaseHolder.h - Capacity leased from other hosts ----------*- C++ -*-===//
 //
-// The leases that this host holds, what it uses of them, and the regular
-// exchange with their issuers, which serves as heartbeat too.
+// The leases that this host holds, their use, and the periodic exchange of
+// requests and grants with their issuers, which is also the heartbeat.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -12,55 +12,64 @@
 namespace pepperlug
 {
 
-/// What a host says of itself with every exchange.
+/// State that a host reports about itself in every lease request and grant.
 struct HostStatus {
-    std::uint64_t configIndex = 0;
+    std::uint64_t configIndex = 0; ///< index of the configuration in force
     bool isLeaving = false;
     std::string ledgerId;
     std::chrono::seconds ledgerAge{};
 };
 
+/// Holder's side of the leases between entry hosts.
 class LeaseHolder
 {
 public:
     explicit LeaseHolder(std::uint64_t incarnation);
 
-    /// Chooses the issuers: the few that rendezvous hashing gives of the own zone and of others, nearest zones first.
-    /// So the cost of the exchange does not grow with the number of hosts.
+    /// Applies a bundle and selects the issuers: a few hosts of the own zone and of others, nearest zones first,
+    /// selected by rendezvous hashing. Their bounded number keeps the cost of the exchange independent of the number of
+    /// hosts.
     void applyBundle(const Bundle &bundle, HostId self, TimePoint now);
+    /// Moves the state to the ids of another bundle; applyBundle() must follow.
     void remap(const IdMap &ids);
 
-    /// Asks each issuer whose turn has come. `overflow` is, by service, the demand that the own slice can't hold.
+    /// Sends a request to each issuer for which one is due. `overflow` is the demand, by service, that exceeds the own
+    /// slice.
     void poll(const std::vector<unsigned> &overflow, const HostStatus &own, TimePoint now, Effects &out);
-    /// Makes it every issuer's turn at the next poll().
+    /// Makes a request to every issuer due at the next poll().
     void makeAllDue();
-    /// Takes a grant; an answer to any but the last request is dropped. Returns whether it was taken.
+    /// Applies a grant, unless it answers an earlier request than the last. Returns true if it was applied.
     bool handleGrant(HostId issuer, const LeaseGrant &grant, TimePoint now);
+    /// Handles a failed request; the next one is sent when it is due.
     void handleFailure(HostId issuer, std::uint64_t sequence);
-    /// Notes that a request of that host arrived.
-    void recordContact(HostId peer, const HostStatus &said, TimePoint now);
+    /// Records a message from a host and the status in it.
+    void recordContact(HostId peer, const HostStatus &status, TimePoint now);
 
+    /// Returns true if a lease of the issuer has free slots.
     bool hasFreeSlots(HostId issuer, ServiceId service, TimePoint now) const;
-    /// The nearest issuer with room, seen from this host; only in `region` if given.
+    /// Returns the nearest issuer whose lease has free slots; only one in `region` if given.
     std::optional<HostId> chooseLease(ServiceId service, std::optional<RegionId> region,
                                       const std::vector<HostId> &excluded, TimePoint now) const;
-    /// The host of a region with most slots to spare, as it said last; counts one of them as gone.
+    /// Returns the host of a region that last reported the most spare slots, and counts one of these as used.
     std::optional<HostId> chooseWithSpare(ServiceId service, RegionId region, const std::vector<HostId> &excluded,
                                           TimePoint now);
-    /// The nearest live host of a region.
+    /// Returns the nearest live host of a region.
     std::optional<HostId> chooseAlive(RegionId region, const std::vector<HostId> &excluded, TimePoint now) const;
+    /// Takes a slot of a lease for a forwarded request.
     void startUse(HostId issuer, ServiceId service);
+    /// Releases the slot of a forwarded request.
     void endUse(HostId issuer, ServiceId service);
-    /// Whether callers who will use about so many slots may be named this host; takes them off what it said to have to
-    /// spare.
+    /// Returns true, and takes `slots` off the host's credit, if a look-up answer may name the host to callers that are
+    /// expected to use as many. The credit is a share of the spare slots that the host last reported.
     bool spendLookupCredit(HostId host, ServiceId service, double slots);
-    /// Slots of a lease that are not in use.
+    /// Returns the slots of a lease that are not in use.
     unsigned freeSlots(HostId issuer, ServiceId service, TimePoint now) const;
 
-    /// Whether the host was heard lately. One that this host exchanges nothing with counts as alive.
+    /// Returns true if the host has sent a message recently. A host that is not an issuer counts as alive.
     bool isAlive(HostId host, TimePoint now) const;
     bool isLeaving(HostId host) const;
-    /// Ledger of the host as it said last; its age is that of then, so a token made of it is never from the future.
+    /// Returns a token of the host's ledger, with the age that the host last reported, so the token is never from the
+    /// future.
     std::optional<HomeToken> ownerToken(HostId host, const std::string &name) const;
     std::optional<TimePoint> lastContact(HostId host) const;
     std::uint64_t configIndex(HostId host) const;
@@ -68,35 +77,36 @@
     unsigned usedSlots(ServiceId service) const;
     unsigned spare(HostId host, ServiceId service) const;
     const std::vector<HostId> &issuers() const;
-    /// Time between two requests to one issuer.
+    /// Returns the time between two requests to one issuer.
     Duration exchangeInterval() const;
 
 private:
-    struct Held {
+    /// The lease of one service by one issuer.
+    struct HeldLease {
         unsigned amount = 0;
         TimePoint validUntil{};
-        unsigned kept = 0; ///< what the last request promised to stay within
+        unsigned keepLimit = 0; ///< `keep` of the last request: the use of earlier grants stays within it
         unsigned used = 0;
-        unsigned spare = 0; ///< as the issuer said last
-        double credit = 0; ///< part of the spare that look-up answers from here may fill until it says more
+        unsigned spare = 0; ///< as last reported by the issuer
+        double credit = 0; ///< part of `spare` that look-up answers of this host may use until the next grant
         unsigned want = 0;
     };
 
     struct Peer {
-        std::vector<Held> services;
+        std::vector<HeldLease> services;
         std::uint64_t sequence = 0;
-        bool isAsking = false;
-        TimePoint askedAt{};
-        std::optional<TimePoint> lastHeard;
-        HostStatus said;
+        bool isAwaitingReply = false;
+        TimePoint requestedAt{};
+        std::optional<TimePoint> lastContact;
+        HostStatus status;
     };
 
     Peer &peer(HostId host);
     const Peer *find(HostId host) const;
-    unsigned freeSlots(const Held &held, TimePoint now) const;
+    unsigned freeSlots(const HeldLease &held, TimePoint now) const;
     bool isDue(const Peer &peer, Duration interval, TimePoint now) const;
-    bool isShort(const std::vector<unsigned> &overflow, TimePoint now) const;
-    std::vector<unsigned> shareWants(ServiceId service, unsigned overflow, TimePoint now) const;
+    bool hasShortfall(const std::vector<unsigned> &overflow, TimePoint now) const;
+    std::vector<unsigned> distributeWants(ServiceId service, unsigned overflow, TimePoint now) const;
     LeaseRequest makeRequest(Peer &peer, const HostStatus &own, TimePoint now);
 
     std::uint64_t m_incarnation;
