--- a/lib/Steer/LeaseIssuer.cpp
+++ b/lib/Steer/LeaseIssuer.cpp
@@ -1,7 +1,7 @@
-//===- LeaseIssuer.cpp - The sum that is never exceeded -------------------===//
+//===- LeaseIssuer.cpp - Admission and leases of this host's slice --------===//
 //
-// A lease counts in full from the moment it is granted until its holder says that it keeps less, or until it has run
-// out by this host's clock with the allowed drift added. Requests that outlive their lease go on counting as used.
+// A lease counts in full from the time it is granted until its holder reports that it keeps less, or until it has
+// expired by this host's clock with the allowed drift added. Requests that outlive their lease still count as used.
 //
 //===----------------------------------------------------------------------===//
 #include "LeaseIssuer.h"
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr unsigned WeightScale = 64;
+constexpr unsigned WeightScale = 64; ///< keeps the fraction when a zone's slots are divided among its hosts
 
-// Parts of caps and links follow the slices: a host with more slots gets more of the growth into its region.
+// Shares of caps and link limits follow the slices: a host with more slots gets more of the growth into its region.
 std::vector<unsigned> hostWeights(const Bundle &bundle, RegionId region)
 {
     std::vector<unsigned> zoneSlots(bundle.zones.size(), 0);
@@ -28,8 +28,8 @@
     std::vector<unsigned> weights(bundle.hosts.size(), 0);
     for (std::size_t n = 0; n < bundle.hosts.size(); ++n) {
         const ZoneId zone = bundle.hosts[n].zone;
-        const auto sharers = static_cast<unsigned>(bundle.zones[idx(zone)].hosts.size());
-        weights[n] = bundle.regionOf(zone) == region ? zoneSlots[idx(zone)] * WeightScale / sharers : 0;
+        const auto hostsOfZone = static_cast<unsigned>(bundle.zones[idx(zone)].hosts.size());
+        weights[n] = bundle.regionOf(zone) == region ? zoneSlots[idx(zone)] * WeightScale / hostsOfZone : 0;
     }
     return weights;
 }
@@ -37,7 +37,7 @@
 } // namespace
 
 LeaseIssuer::LeaseIssuer(TimePoint now)
-    : m_started(now)
+    : m_startedAt(now)
 {
 }
 
@@ -53,9 +53,9 @@
         use.regions.resize(bundle.regions.size());
     }
     if (isFirst) {
-        m_started = now;
+        m_startedAt = now;
     }
-    // A bundle may drop a host or move it to another region, so the sums by region are made anew.
+    // A bundle may remove a host or move it to another region, so the sums by region are recomputed.
     for (ServiceUse &use : m_services) {
         for (RegionUse &region : use.regions) {
             region.reservedByHolders = 0;
@@ -106,7 +106,7 @@
     return std::max(use.usedDirectly, use.lookups.slots());
 }
 
-unsigned LeaseIssuer::taken(const RegionUse &use) const
+unsigned LeaseIssuer::meteredSlots(const RegionUse &use) const
 {
     return std::max(use.reservedByHolders, use.usedByHolders) + std::max(use.level, directUse(use));
 }
@@ -128,7 +128,7 @@
 
 unsigned LeaseIssuer::heldByRegion(RegionId region, ServiceId service) const
 {
-    return taken(m_services[idx(service)].regions[idx(region)]);
+    return meteredSlots(m_services[idx(service)].regions[idx(region)]);
 }
 
 unsigned LeaseIssuer::lent(ServiceId service) const
@@ -165,16 +165,16 @@
 {
     unsigned sum = 0;
     for (const ServiceUse &use : m_services) {
-        sum += taken(use.regions[idx(region)]);
+        sum += meteredSlots(use.regions[idx(region)]);
     }
     return sum;
 }
 
-// A host that was restarted does not know what it lent before. Holders' old leases are refused on arrival, but their
-// callers may still come on old look-ups; so it waits until the longest old lease has surely run out.
+// A restarted host does not know what it lent before. Requests under old leases are refused on arrival, but callers may
+// still arrive with old look-up answers; so nothing is lent until the longest old lease must have expired.
 bool LeaseIssuer::canLend(TimePoint now) const
 {
-    return m_bundle != nullptr && now >= m_started + m_reserveTime;
+    return m_bundle != nullptr && now >= m_startedAt + m_reserveTime;
 }
 
 bool LeaseIssuer::raiseLevel(RegionId region, ServiceId service, unsigned slots, TimePoint now)
@@ -192,8 +192,8 @@
     return true;
 }
 
-// The level follows the use down, a while later: coming back to where one was a moment ago is no shift.
-void LeaseIssuer::checkLevel(RegionUse &use, TimePoint now)
+// The level follows a falling use with a delay, so that a return to a recent level does not count as a shift.
+void LeaseIssuer::lowerLevel(RegionUse &use, TimePoint now)
 {
     use.peak = std::max(use.peak, directUse(use));
     if (now < use.levelChecked + m_leaseTime) {
@@ -252,15 +252,15 @@
     ServiceUse &use = m_services[idx(service)];
     switch (charge.kind) {
     case Charge::Kind::Local:
-        assert(use.localUsed > 0 && "a home request ends that did not start");
+        assert(use.localUsed > 0 && "endUse() without startUse() for a local request");
         --use.localUsed;
         break;
     case Charge::Kind::Region:
-        assert(use.regions[idx(charge.region)].usedDirectly > 0 && "a direct request ends that did not start");
+        assert(use.regions[idx(charge.region)].usedDirectly > 0 && "endUse() without startUse() for a direct request");
         --use.regions[idx(charge.region)].usedDirectly;
         break;
     case Charge::Kind::Holder:
-        assert(use.holders[charge.holder].used > 0 && "a forwarded request ends that did not start");
+        assert(use.holders[charge.holder].used > 0 && "endUse() without startUse() for a forwarded request");
         --use.holders[charge.holder].used;
         --use.regions[idx(charge.region)].usedByHolders;
         break;
@@ -299,19 +299,19 @@
         }
         for (RegionUse &region : use.regions) {
             region.lookups.expire(now);
-            checkLevel(region, now);
+            lowerLevel(region, now);
         }
     }
 }
 
-// Max-min: the smallest wants are met first, what they leave is shared by the rest.
+// Max-min fairness: the smallest wants are met first, and the rest of the pool is shared among the others.
 unsigned LeaseIssuer::fairShare(const ServiceUse &use, HostId id, unsigned pool, TimePoint now) const
 {
     std::vector<unsigned> wants;
     unsigned own = 0;
     for (const auto &[other, holder] : use.holders) {
-        const bool isFresh = now < holder.wantedAt + m_reserveTime;
-        if (isFresh && holder.want > 0) {
+        const bool isCurrent = now < holder.wantedAt + m_reserveTime;
+        if (isCurrent && holder.want > 0) {
             wants.push_back(holder.want);
         }
         own = other == id ? holder.want : own;
@@ -337,10 +337,10 @@
     const RegionId region = m_bundle->regionOf(id);
     const bool isNewProcess = holder.incarnation != request.incarnation;
     if (!isNewProcess && request.sequence <= holder.sequence) {
-        return {want.service, 0, 0}; // an old message that came late: the holder no longer waits for an answer
+        return {want.service, 0, 0}; // out of order: the holder no longer waits for the answer
     }
-    // A restarted holder knows nothing of its old leases, but answers that its old process gave to callers live on;
-    // so an old lease is not cut short by a new incarnation.
+    // A restarted holder does not know its old leases, but callers still use look-up answers of its old process, so a
+    // new incarnation does not shorten an old lease.
     const unsigned live = now < holder.expires ? holder.reserved : 0;
     const unsigned kept = isNewProcess ? live : std::min(live, std::max(want.keep, holder.used));
     holder.incarnation = request.incarnation;
@@ -349,16 +349,16 @@
     holder.wantedAt = now;
     setReserved(service, id, holder, kept);
 
-    const unsigned room = spare(service, capacity, localNeed);
-    int lentNow = 0;
+    const unsigned available = spare(service, capacity, localNeed);
+    int lentSlots = 0;
     for (const auto &[other, it] : use.holders) {
-        lentNow += static_cast<int>(it.reserved);
+        lentSlots += static_cast<int>(it.reserved);
     }
-    const auto pool = static_cast<unsigned>(std::max(0, lentNow + margin(service, capacity, localNeed)));
+    const auto pool = static_cast<unsigned>(std::max(0, lentSlots + margin(service, capacity, localNeed)));
     const unsigned target = canLend(now) ? std::min(want.want, fairShare(use, id, pool, now)) : 0;
     unsigned amount = std::min(kept, target);
     if (target > kept) {
-        unsigned growth = std::min(target - kept, room);
+        unsigned growth = std::min(target - kept, available);
         if (region != m_ownRegion) {
             growth = m_meters[idx(region)].allowedByLink(growth, linkUse(region));
             growth = m_meters[idx(region)].allowedByCap(growth, now);
@@ -377,7 +377,7 @@
 LeaseGrant LeaseIssuer::handleRequest(HostId holder, const LeaseRequest &request, const std::vector<unsigned> &capacity,
                                       const std::vector<unsigned> &localNeed, TimePoint now)
 {
-    assert(m_bundle != nullptr && "a lease is asked for before a bundle is in force");
+    assert(m_bundle != nullptr && "lease request before a bundle is in force");
     LeaseGrant reply;
     reply.sequence = request.sequence;
     reply.duration = std::chrono::duration_cast<std::chrono::microseconds>(m_leaseTime);
--- a/lib/Steer/LeaseIssuer.h
+++ b/lib/Steer/LeaseIssuer.h
@@ -1,8 +1,9 @@
-//===- LeaseIssuer.h - Lending this host's slice -----------------*- C++ -*-===//
+//===- LeaseIssuer.h - Leases on this host's slice ---------------*- C++ -*-===//
 //
-// Keeps the one sum that no promise about capacity may exceed: what callers of
-// this host's region use, what is lent to other hosts, and what callers of other
-// regions use directly. Every admission and every lease passes through here.
+// Keeps the sum of all slots that are committed: those in use by callers of this
+// host's region, those lent to other hosts, and those in use by callers of other
+// regions who came here directly. Every admission and every lease is counted
+// here, so that the sum never exceeds the capacity.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -15,10 +16,10 @@
 namespace pepperlug
 {
 
-/// Whose capacity a running request uses here.
+/// Account to which the slot of a running request is charged.
 struct Charge {
     enum class Kind {
-        Local, ///< a caller of this host's own region
+        Local, ///< a caller of this host's region
         Region, ///< a caller of another region who came here directly
         Holder, ///< another entry host, under its lease
     };
@@ -27,39 +28,43 @@
     HostId holder{};
 };
 
+/// Issuer's side of the leases between entry hosts.
 class LeaseIssuer
 {
 public:
     explicit LeaseIssuer(TimePoint now);
 
     void applyBundle(const Bundle &bundle, HostId self, TimePoint now);
-    /// Moves what is known to the ids of another bundle; applyBundle must follow.
+    /// Moves the state to the ids of another bundle; applyBundle() must follow.
     void remap(const IdMap &ids);
 
-    /// Answers a holder. `capacity` is by service; `localNeed` is what this host keeps for its own callers.
+    /// Returns the answer to a lease request. `capacity` and `localNeed`, the slots kept for callers of this region,
+    /// are by service.
     LeaseGrant handleRequest(HostId holder, const LeaseRequest &request, const std::vector<unsigned> &capacity,
                              const std::vector<unsigned> &localNeed, TimePoint now);
 
-    /// Whether one more request may run; grows the part of a region of direct callers if cap and link allow.
-    /// Returns the reason of the refusal, nothing if admitted. Call startUse() when it then runs.
+    /// Admits one more request, and raises the level of its region if shift cap and link limit allow. Returns the
+    /// reason of the refusal, or nothing if the request is admitted; startUse() must follow when it runs.
     std::optional<Reason> admit(const Charge &charge, ServiceId service, unsigned capacity, TimePoint now);
     void startUse(const Charge &charge, ServiceId service);
     void endUse(const Charge &charge, ServiceId service);
-    /// Notes a look-up answer that sends a caller of another region here, who will use about so many slots. Returns
-    /// false, and notes nothing, if cap or link do not allow it.
+    /// Records a look-up answer that sends a caller of another region here, who is expected to use `slots`. Returns
+    /// false, and records nothing, if the shift cap or the link limit does not allow it.
     bool admitLookup(RegionId from, ServiceId service, double slots, TimePoint expires, TimePoint now);
 
-    /// Lets leases and look-up answers run out.
+    /// Drops expired leases and look-up answers.
     void refresh(TimePoint now);
 
+    /// Returns the slots in use or lent.
     unsigned committed(ServiceId service) const;
     unsigned localUsed(ServiceId service) const;
     unsigned lent(ServiceId service) const;
-    /// Slots that callers of another region hold here, by lease or by use.
+    /// Returns the slots that callers of another region hold here, by lease or by direct use.
     unsigned heldByRegion(RegionId region, ServiceId service) const;
     ShiftView shift(RegionId from) const;
-    /// Slots that could still be lent, after what home needs.
+    /// Returns the slots that could still be lent, beyond the need of callers of this region.
     unsigned spare(ServiceId service, unsigned capacity, unsigned localNeed) const;
+    /// Returns true if all leases of an earlier process of this host must have expired.
     bool canLend(TimePoint now) const;
 
 private:
@@ -78,16 +83,16 @@
         unsigned usedByHolders = 0;
         unsigned usedDirectly = 0;
         ExpiringCount lookups;
-        /// Slots up to which direct callers have grown; growing further is metered. Reserves nothing: they get what is
-        /// free when they come.
+        /// Slots to which the use by direct callers has grown; further growth is metered. It reserves nothing: direct
+        /// callers get the slots that are free on arrival.
         unsigned level = 0;
-        unsigned peak = 0; ///< of their use since levelChecked
+        unsigned peak = 0; ///< highest use by direct callers since `levelChecked`
         TimePoint levelChecked{};
     };
 
     struct ServiceUse {
         std::map<HostId, Holder> holders;
-        std::vector<RegionUse> regions; ///< by RegionId; the own region counts its holders only
+        std::vector<RegionUse> regions; ///< by RegionId; of this region only the holders are counted
         unsigned localUsed = 0;
     };
 
@@ -96,18 +101,20 @@
         ServiceId service{};
     };
 
-    /// Slots that can't be given to others now.
+    /// Returns the slots that can't be given to others now.
     unsigned committed(const RegionUse &use) const;
-    /// Slots to which callers of a region have grown, as caps count them.
-    unsigned taken(const RegionUse &use) const;
+    /// Returns the slots of a region as the shift cap counts them.
+    unsigned meteredSlots(const RegionUse &use) const;
     unsigned directUse(const RegionUse &use) const;
-    void checkLevel(RegionUse &use, TimePoint now);
-    /// Slots of the link from that region that are taken, over all services.
+    void lowerLevel(RegionUse &use, TimePoint now);
+    /// Returns the slots committed to a region, over all services, as the link limit counts them.
     unsigned linkUse(RegionId region) const;
+    /// Returns the slots of a region over all services, as the shift cap counts them.
     unsigned levelOf(RegionId region) const;
-    /// Slots left after all that is committed and that home still needs; below zero where too much is lent.
+    /// Returns the capacity minus the committed slots and the unmet need of this region; negative if too many slots are
+    /// lent.
     int margin(ServiceId service, unsigned capacity, unsigned localNeed) const;
-    /// Raises the level of direct callers to `slots` if cap and link allow.
+    /// Raises the level of direct callers to `slots`. Returns false if the shift cap does not allow it.
     bool raiseLevel(RegionId region, ServiceId service, unsigned slots, TimePoint now);
     void setReserved(ServiceId service, HostId id, Holder &holder, unsigned amount);
     ServiceGrant grant(HostId id, const LeaseRequest &request, const ServiceWant &want, unsigned capacity,
@@ -117,8 +124,8 @@
     const Bundle *m_bundle = nullptr;
     RegionId m_ownRegion{};
     Duration m_leaseTime{};
-    Duration m_reserveTime{}; ///< how long a lease counts here: its time and the drift that is allowed
-    TimePoint m_started;
+    Duration m_reserveTime{}; ///< time for which a lease counts here: the lease time plus the allowed clock drift
+    TimePoint m_startedAt;
     std::vector<ServiceUse> m_services;
     std::vector<ShiftMeter> m_meters; ///< by RegionId of the callers
 };
