--- a/lib/Steer/TargetPool.cpp
+++ b/lib/Steer/TargetPool.cpp
@@ -1,7 +1,8 @@
 //===- TargetPool.cpp - Choice among the targets of a slice ---------------===//
 //
-// Two targets are drawn at random and the better one is taken. "Better" rests on what requests themselves showed; what
-// a target reports about itself can only lower trust in it, since health and load endpoints lag and sometimes mislead.
+// Two targets are drawn at random and the one with the lower score is chosen. The score is based on the results of
+// requests. Reports of a target about itself can only raise its score, since health and load endpoints lag behind and
+// are sometimes wrong.
 //
 //===----------------------------------------------------------------------===//
 #include "TargetPool.h"
@@ -16,22 +17,22 @@
 namespace
 {
 
-constexpr double AverageWeight = 0.1;
-constexpr unsigned FailuresToEject = 5;
+constexpr double AverageWeight = 0.1; ///< weight of a new value in a moving average
+constexpr unsigned FailuresToEject = 5; ///< consecutive failures
 constexpr double FailureShareToEject = 0.6;
-constexpr unsigned MaxEjectionFactor = 8;
+constexpr unsigned MaxEjectionFactor = 8; ///< bound on the growth of ejection times
 constexpr double FailurePenalty = 4;
-constexpr double MinScoredLatency = 0.0005;
+constexpr double MinScoredLatency = 0.0005; ///< seconds
 constexpr double MinTrust = 0.2;
-constexpr double LoadOfFullTrust = 0.8;
-constexpr auto ReportLife = std::chrono::seconds(5);
-constexpr auto ShedPause = Milliseconds(100);
-constexpr auto CancelLinger = Milliseconds(50);
+constexpr double MaxTrustedLoad = 0.8; ///< reported load up to which the score is not raised
+constexpr auto MaxReportAge = std::chrono::seconds(5); ///< age up to which a report counts
+constexpr auto ShedBackOff = Milliseconds(100); ///< back-off of a target that shed a request
+constexpr auto CancelDelay = Milliseconds(50); ///< time until the target has received a cancellation
 constexpr unsigned RandomTries = 6;
-constexpr double HedgeDeviations = 4;
+constexpr double HedgeDeviations = 4; ///< mean deviations above the mean latency
 constexpr auto MinHedgeDelay = Milliseconds(20);
 
-void average(double &mean, double value)
+void updateAverage(double &mean, double value)
 {
     mean = mean == 0 ? value : mean + AverageWeight * (value - mean);
 }
@@ -45,7 +46,7 @@
     if (own == owners.end()) {
         return slots;
     }
-    const auto position = static_cast<std::size_t>(own - owners.begin());
+    const auto index = static_cast<std::size_t>(own - owners.begin());
     std::vector<std::size_t> next(bundle.services.size(), 0);
     for (std::size_t target = 0; target < bundle.targets.size(); ++target) {
         if (bundle.targets[target].zone != zone) {
@@ -53,7 +54,7 @@
         }
         std::size_t &slot = next[idx(bundle.targets[target].service)];
         for (unsigned n = 0; n < bundle.targets[target].slots; ++n, ++slot) {
-            slots[target] += slot % owners.size() == position ? 1 : 0;
+            slots[target] += slot % owners.size() == index ? 1 : 0;
         }
     }
     return slots;
@@ -61,38 +62,38 @@
 
 void TargetPool::applyBundle(const Bundle &bundle, ZoneId zone, TimePoint now)
 {
-    // A restarted host meets targets that have been warm all along; only later newcomers start slowly.
-    const bool isFirst = m_places.empty();
-    // Ids change with the bundle; what lingers is over a little early then.
+    // Targets in the first bundle after a restart are warm already; slow start applies to targets added later only.
+    const bool isFirst = m_locations.empty();
+    // Ids change with the bundle, so cancelled attempts end early here.
     Effects ignored;
-    endLingering(TimePoint::max(), ignored);
-    std::map<std::string, Local> known;
+    endCancelledAttempts(TimePoint::max(), ignored);
+    std::map<std::string, TargetState> previous;
     for (ServicePool &pool : m_services) {
-        for (Local &local : pool.locals) {
-            known.emplace(local.name, std::move(local));
+        for (TargetState &state : pool.targets) {
+            previous.emplace(state.name, std::move(state));
         }
     }
     m_policy = bundle.policy;
     m_services.assign(bundle.services.size(), {});
-    m_places.assign(bundle.targets.size(), std::nullopt);
+    m_locations.assign(bundle.targets.size(), std::nullopt);
     for (std::size_t n = 0; n < bundle.targets.size(); ++n) {
         const Target &target = bundle.targets[n];
         if (target.zone != zone) {
             continue;
         }
         ServicePool &pool = m_services[idx(target.service)];
-        Local local;
-        local.warmFrom = isFirst ? now - bundle.policy.slowStart : now;
-        const auto it = known.find(target.name);
-        if (it != known.end()) {
-            local = it->second;
+        TargetState state;
+        state.slowStartAt = isFirst ? now - bundle.policy.slowStart : now;
+        const auto it = previous.find(target.name);
+        if (it != previous.end()) {
+            state = it->second;
         }
-        local.id = makeId<TargetId>(n);
-        local.name = target.name;
-        m_places[n] =
-            Place{static_cast<std::uint32_t>(idx(target.service)), static_cast<std::uint32_t>(pool.locals.size())};
-        pool.inFlight += local.inFlight;
-        pool.locals.push_back(std::move(local));
+        state.id = makeId<TargetId>(n);
+        state.name = target.name;
+        m_locations[n] =
+            Location{static_cast<std::uint32_t>(idx(target.service)), static_cast<std::uint32_t>(pool.targets.size())};
+        pool.inFlight += state.inFlight;
+        pool.targets.push_back(std::move(state));
     }
 }
 
@@ -100,67 +101,67 @@
 {
     for (ServicePool &pool : m_services) {
         pool.sliceSlots = 0;
-        for (Local &local : pool.locals) {
-            local.slots = slots[idx(local.id)];
-            pool.sliceSlots += local.slots;
+        for (TargetState &state : pool.targets) {
+            state.slots = slots[idx(state.id)];
+            pool.sliceSlots += state.slots;
         }
     }
 }
 
-TargetPool::Local *TargetPool::find(TargetId target)
+TargetPool::TargetState *TargetPool::find(TargetId target)
 {
-    return const_cast<Local *>(std::as_const(*this).find(target));
+    return const_cast<TargetState *>(std::as_const(*this).find(target));
 }
 
-const TargetPool::Local *TargetPool::find(TargetId target) const
+const TargetPool::TargetState *TargetPool::find(TargetId target) const
 {
-    if (idx(target) >= m_places.size() || !m_places[idx(target)]) {
+    if (idx(target) >= m_locations.size() || !m_locations[idx(target)]) {
         return nullptr;
     }
-    const Place &place = *m_places[idx(target)];
-    return &m_services[place.service].locals[place.position];
+    const Location &location = *m_locations[idx(target)];
+    return &m_services[location.service].targets[location.index];
 }
 
-double TargetPool::score(const Local &local, TimePoint now) const
+double TargetPool::score(const TargetState &state, TimePoint now) const
 {
-    const double load = static_cast<double>(local.inFlight + 1) / static_cast<double>(local.limit);
-    const double latency = std::max(local.latency, MinScoredLatency);
-    const double trust = now < local.reportedAt + ReportLife ? local.trust : 1;
-    return load * latency * (1 + FailurePenalty * local.failure) / trust;
+    const double load = static_cast<double>(state.inFlight + 1) / static_cast<double>(state.limit);
+    const double latency = std::max(state.latency, MinScoredLatency);
+    const double trust = now < state.reportedAt + MaxReportAge ? state.trust : 1;
+    return load * latency * (1 + FailurePenalty * state.failureShare) / trust;
 }
 
-bool TargetPool::usable(const Local &local, const std::vector<TargetId> &excluded, TimePoint now) const
+bool TargetPool::isUsable(const TargetState &state, const std::vector<TargetId> &excluded, TimePoint now) const
 {
-    if (local.inFlight >= local.limit || now < local.avoidUntil) {
+    if (state.inFlight >= state.limit || now < state.backOffUntil) {
         return false;
     }
-    return std::find(excluded.begin(), excluded.end(), local.id) == excluded.end();
+    return std::find(excluded.begin(), excluded.end(), state.id) == excluded.end();
 }
 
-// Near saturation most draws hit full targets; then one pass over all finds what is left.
+// Near saturation most draws hit full targets; a pass over all targets then finds those with free slots.
 std::optional<TargetId> TargetPool::choose(ServiceId service, const std::vector<TargetId> &excluded, TimePoint now,
                                            std::mt19937_64 &random)
 {
-    const std::vector<Local> &locals = m_services[idx(service)].locals;
-    if (locals.empty()) {
+    const std::vector<TargetState> &targets = m_services[idx(service)].targets;
+    if (targets.empty()) {
         return std::nullopt;
     }
-    const Local *best = nullptr;
+    const TargetState *best = nullptr;
     unsigned drawn = 0;
     for (unsigned n = 0; n < RandomTries && drawn < 2; ++n) {
-        const Local &local = locals[random() % locals.size()];
-        if (&local == best || !usable(local, excluded, now)) {
+        const TargetState &state = targets[random() % targets.size()];
+        if (&state == best || !isUsable(state, excluded, now)) {
             continue;
         }
         ++drawn;
-        best = best == nullptr || score(local, now) < score(*best, now) ? &local : best;
+        best = best == nullptr || score(state, now) < score(*best, now) ? &state : best;
     }
     if (best != nullptr) {
         return best->id;
     }
-    for (const Local &local : locals) {
-        if (usable(local, excluded, now) && (best == nullptr || score(local, now) < score(*best, now))) {
-            best = &local;
+    for (const TargetState &state : targets) {
+        if (isUsable(state, excluded, now) && (best == nullptr || score(state, now) < score(*best, now))) {
+            best = &state;
         }
     }
     if (best == nullptr) {
@@ -171,148 +172,148 @@
 
 void TargetPool::startRequest(TargetId target)
 {
-    Local *local = find(target);
-    assert(local != nullptr && "a request is started at a target of another zone");
-    ++local->inFlight;
-    ++m_services[m_places[idx(target)]->service].inFlight;
+    TargetState *state = find(target);
+    assert(state != nullptr && "the target is in another zone");
+    ++state->inFlight;
+    ++m_services[m_locations[idx(target)]->service].inFlight;
 }
 
 void TargetPool::endRequest(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now, Effects &out)
 {
-    Local *local = find(target);
-    if (local == nullptr) {
-        return; // a bundle has moved the target away in the meantime
+    TargetState *state = find(target);
+    if (state == nullptr) {
+        return; // a bundle has removed or moved the target in the meantime
     }
-    ServicePool &pool = m_services[m_places[idx(target)]->service];
-    assert(local->inFlight > 0 && "a request ends at a target that runs none");
-    --local->inFlight;
+    ServicePool &pool = m_services[m_locations[idx(target)]->service];
+    assert(state->inFlight > 0 && "endRequest() without startRequest()");
+    --state->inFlight;
     --pool.inFlight;
     if (evidence == TargetEvidence::Success) {
-        average(local->latency, secondsOf(latency));
-        average(pool.latency, secondsOf(latency));
-        average(pool.deviation, std::abs(secondsOf(latency) - pool.latency));
-        local->failuresInRow = 0;
+        updateAverage(state->latency, secondsOf(latency));
+        updateAverage(pool.latency, secondsOf(latency));
+        updateAverage(pool.deviation, std::abs(secondsOf(latency) - pool.latency));
+        state->failuresInRow = 0;
     }
     if (evidence == TargetEvidence::Shed) {
-        local->avoidUntil = now + ShedPause;
+        state->backOffUntil = now + ShedBackOff;
     }
     if (evidence == TargetEvidence::Success || evidence == TargetEvidence::Failure) {
-        local->failure += AverageWeight * ((evidence == TargetEvidence::Failure ? 1 : 0) - local->failure);
+        state->failureShare += AverageWeight * ((evidence == TargetEvidence::Failure ? 1 : 0) - state->failureShare);
     }
     if (evidence == TargetEvidence::Failure) {
-        ++local->failuresInRow;
-        const bool isOutlier = local->failuresInRow >= FailuresToEject || local->failure > FailureShareToEject;
-        if (isOutlier && now >= local->ejectedUntil && mayEject(pool, now)) {
-            eject(*local, now, out);
-            recount(pool, now);
+        ++state->failuresInRow;
+        const bool isOutlier = state->failuresInRow >= FailuresToEject || state->failureShare > FailureShareToEject;
+        if (isOutlier && now >= state->ejectedUntil && mayEject(pool, now)) {
+            eject(*state, now, out);
+            updateLimits(pool, now);
         }
     }
-    tellIfIdle(*local, now, out);
+    reportIfIdle(*state, now, out);
 }
 
 bool TargetPool::mayEject(const ServicePool &pool, TimePoint now) const
 {
-    const auto ejected = std::count_if(pool.locals.begin(), pool.locals.end(),
-                                       [&](const Local &local) { return now < local.ejectedUntil; });
-    return static_cast<double>(ejected + 1) <= m_policy.ejectShare * static_cast<double>(pool.locals.size());
+    const auto ejected = std::count_if(pool.targets.begin(), pool.targets.end(),
+                                       [&](const TargetState &state) { return now < state.ejectedUntil; });
+    return static_cast<double>(ejected + 1) <= m_policy.ejectShare * static_cast<double>(pool.targets.size());
 }
 
-void TargetPool::eject(Local &local, TimePoint now, Effects &out)
+void TargetPool::eject(TargetState &state, TimePoint now, Effects &out)
 {
-    local.ejections = std::min(local.ejections + 1, MaxEjectionFactor);
-    local.ejectedUntil = now + m_policy.ejectTime * local.ejections;
-    local.warmFrom = local.ejectedUntil;
-    local.failuresInRow = 0;
-    local.failure = 0;
-    out.emplace_back(StateChange{"target ejected", local.name, std::to_string(local.ejections) + " times"});
+    state.ejections = std::min(state.ejections + 1, MaxEjectionFactor);
+    state.ejectedUntil = now + m_policy.ejectTime * state.ejections;
+    state.slowStartAt = state.ejectedUntil;
+    state.failuresInRow = 0;
+    state.failureShare = 0;
+    out.emplace_back(StateChange{"target ejected", state.name, std::to_string(state.ejections) + " times"});
 }
 
-void TargetPool::tellIfIdle(Local &local, TimePoint now, Effects &out)
+void TargetPool::reportIfIdle(TargetState &state, TimePoint now, Effects &out)
 {
-    if (local.drains == 0 || local.inFlight > 0 || local.idleTold) {
+    if (state.drains == 0 || state.inFlight > 0 || state.idleReported) {
         return;
     }
-    local.idleTold = true;
-    const auto took = std::chrono::duration_cast<Milliseconds>(now - local.drainStarted);
-    out.emplace_back(StateChange{"target idle", local.name, "drain took " + std::to_string(took.count()) + " ms"});
+    state.idleReported = true;
+    const auto took = std::chrono::duration_cast<Milliseconds>(now - state.drainStarted);
+    out.emplace_back(StateChange{"target idle", state.name, "drain took " + std::to_string(took.count()) + " ms"});
 }
 
 void TargetPool::cancelRequest(TargetId target, TargetEvidence evidence, Duration latency, TimePoint now)
 {
-    m_lingering.push_back({now + CancelLinger, target, evidence, latency});
+    m_cancelledAttempts.push_back({now + CancelDelay, target, evidence, latency});
 }
 
-void TargetPool::endLingering(TimePoint now, Effects &out)
+void TargetPool::endCancelledAttempts(TimePoint now, Effects &out)
 {
-    while (!m_lingering.empty() && m_lingering.front().until <= now) {
-        const Lingering it = m_lingering.front();
-        m_lingering.pop_front();
+    while (!m_cancelledAttempts.empty() && m_cancelledAttempts.front().until <= now) {
+        const CancelledAttempt it = m_cancelledAttempts.front();
+        m_cancelledAttempts.pop_front();
         endRequest(it.target, it.evidence, it.latency, now, out);
     }
 }
 
 void TargetPool::setDrain(TargetId target, DrainSource source, bool isLeaving, TimePoint now, Effects &out)
 {
-    Local *local = find(target);
-    if (local == nullptr) {
+    TargetState *state = find(target);
+    if (state == nullptr) {
         return;
     }
-    const unsigned before = local->drains;
+    const unsigned before = state->drains;
     const auto bit = static_cast<unsigned>(source);
-    local->drains = isLeaving ? before | bit : before & ~bit;
-    if (before == 0 && local->drains != 0) {
-        local->drainStarted = now;
-        local->idleTold = false;
-        out.emplace_back(StateChange{"target draining", local->name, ""});
-        tellIfIdle(*local, now, out);
+    state->drains = isLeaving ? before | bit : before & ~bit;
+    if (before == 0 && state->drains != 0) {
+        state->drainStarted = now;
+        state->idleReported = false;
+        out.emplace_back(StateChange{"target draining", state->name, ""});
+        reportIfIdle(*state, now, out);
     }
-    if (before != 0 && local->drains == 0) {
-        local->warmFrom = now;
-        out.emplace_back(StateChange{"target back", local->name, ""});
+    if (before != 0 && state->drains == 0) {
+        state->slowStartAt = now;
+        out.emplace_back(StateChange{"target back", state->name, ""});
     }
-    recount(m_services[m_places[idx(target)]->service], now);
+    updateLimits(m_services[m_locations[idx(target)]->service], now);
 }
 
 void TargetPool::applyReport(const TargetReported &report, TimePoint now)
 {
-    Local *local = find(report.target);
-    if (local == nullptr) {
+    TargetState *state = find(report.target);
+    if (state == nullptr) {
         return;
     }
-    local->reportedAt = now;
-    const double overload = std::clamp((report.load - LoadOfFullTrust) / (1 - LoadOfFullTrust), 0.0, 1.0);
-    local->trust = report.healthy ? std::max(MinTrust, 1 - overload) : MinTrust;
+    state->reportedAt = now;
+    const double overload = std::clamp((report.load - MaxTrustedLoad) / (1 - MaxTrustedLoad), 0.0, 1.0);
+    state->trust = report.healthy ? std::max(MinTrust, 1 - overload) : MinTrust;
 }
 
-unsigned TargetPool::limitOf(const Local &local, TimePoint now) const
+unsigned TargetPool::currentLimit(const TargetState &state, TimePoint now) const
 {
-    if (local.drains != 0 || now < local.ejectedUntil || local.slots == 0) {
+    if (state.drains != 0 || now < state.ejectedUntil || state.slots == 0) {
         return 0;
     }
-    const Duration warmFor = now - local.warmFrom;
+    const Duration warmFor = now - state.slowStartAt;
     if (warmFor >= m_policy.slowStart) {
-        return local.slots;
+        return state.slots;
     }
     const double share = secondsOf(warmFor) / secondsOf(m_policy.slowStart);
-    return std::max(1U, static_cast<unsigned>(std::floor(share * local.slots)));
+    return std::max(1U, static_cast<unsigned>(std::floor(share * state.slots)));
 }
 
-void TargetPool::recount(ServicePool &pool, TimePoint now)
+void TargetPool::updateLimits(ServicePool &pool, TimePoint now)
 {
-    unsigned usable = 0;
-    for (Local &local : pool.locals) {
-        local.limit = limitOf(local, now);
-        usable += local.limit;
+    unsigned usableSlots = 0;
+    for (TargetState &state : pool.targets) {
+        state.limit = currentLimit(state, now);
+        usableSlots += state.limit;
     }
     const auto ceiling = static_cast<unsigned>(std::floor(m_policy.ceiling * pool.sliceSlots + 1e-9));
-    pool.capacity = std::min(usable, ceiling);
+    pool.capacity = std::min(usableSlots, ceiling);
 }
 
 void TargetPool::refresh(TimePoint now, Effects &out)
 {
-    endLingering(now, out);
+    endCancelledAttempts(now, out);
     for (ServicePool &pool : m_services) {
-        recount(pool, now);
+        updateLimits(pool, now);
     }
 }
 
@@ -351,12 +352,12 @@
 
 TargetView TargetPool::view(TargetId target) const
 {
-    const Local *local = find(target);
-    if (local == nullptr) {
+    const TargetState *state = find(target);
+    if (state == nullptr) {
         return {};
     }
-    const bool isEjected = local->drains == 0 && local->slots > 0 && local->limit == 0;
-    return {local->slots, local->inFlight, local->drains != 0, isEjected};
+    const bool isEjected = state->drains == 0 && state->slots > 0 && state->limit == 0;
+    return {state->slots, state->inFlight, state->drains != 0, isEjected};
 }
 
 } // namespace pepperlug
