--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -1,8 +1,8 @@
 //===- Attempts.cpp - Ends of attempts, retries and hedges ----------------===//
 //
-// What may be tried again depends on what is certain. An attempt of which no byte was sent, or that the other side says
-// it did not run, may be repeated for every class. One that was lost on the way may be repeated for reads only, to
-// another target, and only from a budget that grows with the reads themselves.
+// An attempt of which no byte was sent, or that the peer reports as not run, may be retried for every route class. One
+// that was lost after it was sent may be retried for reads only, at another target, and only within a retry budget that
+// grows with the number of reads.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -16,7 +16,7 @@
 {
 
 constexpr std::size_t MaxAttempts = 4;
-constexpr int SlowFactor = 4; ///< a cancelled attempt counts against its target if it took this many times the mean
+constexpr int SlowFactor = 4; ///< a cancelled attempt above this multiple of the mean latency counts as a failure
 
 TargetEvidence evidenceOf(AttemptResult result)
 {
@@ -37,21 +37,21 @@
     return TargetEvidence::Neutral;
 }
 
-bool isCertainlyNotRun(AttemptResult result)
+bool wasCertainlyNotRun(AttemptResult result)
 {
     return result == AttemptResult::NotSent || result == AttemptResult::Shed || result == AttemptResult::RemoteNotRun;
 }
 
-bool isWholeAnswer(AttemptResult result)
+bool isCompleteAnswer(AttemptResult result)
 {
     return result == AttemptResult::Answered || result == AttemptResult::ServerError;
 }
 
-Reason reasonOf(AttemptResult result, bool atHome, Charge::Kind charge)
+Reason reasonOf(AttemptResult result, bool atOwner, Charge::Kind charge)
 {
     switch (result) {
     case AttemptResult::NotSent:
-        return atHome ? Reason::OwnerUnreachable : Reason::TargetUnreachable;
+        return atOwner ? Reason::OwnerUnreachable : Reason::TargetUnreachable;
     case AttemptResult::Shed:
         return Reason::Shed;
     case AttemptResult::RemoteNotRun:
@@ -71,7 +71,7 @@
     return attempt.host ? m_bundle->hosts[idx(*attempt.host)].name : std::string();
 }
 
-// An end that comes twice, or after its request has got its answer, finds nothing here and is dropped.
+// An end that arrives twice, or after its request was answered, is ignored.
 void Steering::Impl::handle(const AttemptEnded &event)
 {
     const auto it = m_requests.find(event.id);
@@ -88,7 +88,7 @@
     }
     endAttempt(request, attempt, event.result);
     const ServiceId service = request.info.service;
-    if (isWholeAnswer(event.result)) {
+    if (isCompleteAnswer(event.result)) {
         cancelAttempts(request);
         finishClaim(request, event);
         if (request.phase != Phase::Detached) {
@@ -110,14 +110,13 @@
 void Steering::Impl::endAttempt(Request &request, Attempt &attempt, AttemptResult result)
 {
     attempt.isRunning = false;
-    request.maybeSent |= !isCertainlyNotRun(result);
+    request.maybeSent |= !wasCertainlyNotRun(result);
     if (attempt.target) {
         m_pool.endRequest(*attempt.target, evidenceOf(result), m_now - attempt.startedAt, m_now, *m_out);
     }
     releaseAttempt(request, attempt);
 }
 
-// Gives back what an attempt used besides its target.
 void Steering::Impl::releaseAttempt(const Request &request, Attempt &attempt)
 {
     if (attempt.host && !attempt.toOwner) {
@@ -131,9 +130,9 @@
 
 void Steering::Impl::handleFailedAttempt(Request &request, const Attempt &attempt, AttemptResult result)
 {
-    const bool othersRun =
+    const bool othersRunning =
         std::any_of(request.attempts.begin(), request.attempts.end(), [](const Attempt &it) { return it.isRunning; });
-    if (othersRun) {
+    if (othersRunning) {
         return;
     }
     const std::string peer = peerName(attempt);
@@ -146,18 +145,19 @@
         answerWaiters(key);
         return;
     }
-    // A home that can't be asked, or can't tell, may have run the operation for an earlier request with this key.
+    // If the key's owner is unreachable or reports unknown, it may have run the operation for an earlier request with
+    // this key.
     if (attempt.toOwner) {
         const Outcome outcome = result == AttemptResult::RemoteNotRun ? Outcome::NotRun : Outcome::Unknown;
         refuse(request, outcome, result == AttemptResult::RemoteNotRun ? Reason::ClaimClosed : reason, peer);
         return;
     }
     const bool isOnce = request.info.cls == RouteClass::Once;
-    const bool shedOnce = isOnce && result == AttemptResult::Shed;
-    const bool mayRepeat = isCertainlyNotRun(result) ? !shedOnce : request.info.cls == RouteClass::Read;
-    const bool paysToken = result != AttemptResult::NotSent && result != AttemptResult::RemoteNotRun;
-    const bool hasRoom = request.attempts.size() < MaxAttempts && !willMissDeadline(request);
-    if (result != AttemptResult::TooLarge && mayRepeat && hasRoom && (!paysToken || takeRetryToken())) {
+    const bool isOnceShed = isOnce && result == AttemptResult::Shed;
+    const bool mayRetry = wasCertainlyNotRun(result) ? !isOnceShed : request.info.cls == RouteClass::Read;
+    const bool needsToken = result != AttemptResult::NotSent && result != AttemptResult::RemoteNotRun;
+    const bool canRetry = request.attempts.size() < MaxAttempts && !willMissDeadline(request);
+    if (result != AttemptResult::TooLarge && mayRetry && canRetry && (!needsToken || takeRetryToken())) {
         if (!place(request)) {
             return;
         }
@@ -214,8 +214,8 @@
     m_requests.erase(it);
 }
 
-// A once-only operation that has been dispatched is left to run, so that a resend can be told what came of it. Its
-// caller gets an answer now all the same.
+// A dispatched once-only operation continues past its deadline, so that its result can be returned to a retry of the
+// caller. The caller is answered now.
 void Steering::Impl::handleDeadline(Request &request)
 {
     const RequestId id = request.info.id;
@@ -234,7 +234,7 @@
         m_timers.push({m_now + m_bundle->services[idx(service)].maxDeadline, id, TimerKind::Deadline});
         return;
     } else if (request.phase == Phase::AwaitingCloseSync) {
-        return; // the refusal is on its way and is certain; it waits for the disk alone
+        return; // the refusal is final and only waits for the disk
     } else {
         const bool maybeRan = wasRunning || request.maybeSent || request.phase == Phase::AwaitingEarlierRequest;
         refuse(request, maybeRan ? Outcome::Unknown : Outcome::NotRun, Reason::DeadlinePassed, {});
@@ -259,7 +259,7 @@
         if (request.phase == Phase::Running) {
             request.phase = Phase::Detached;
         }
-        return; // a dispatched operation goes on; a resend will ask for its end
+        return; // a dispatched operation continues; a retry of the caller gets its result
     }
     cancelAttempts(request);
     releaseCharge(request);
@@ -270,16 +270,17 @@
 void Steering::Impl::startHedge(Request &request)
 {
     const bool runsOnce = request.phase == Phase::Running && request.attempts.size() == 1 && request.attempts[0].target;
-    if (!runsOnce || request.hedged || willMissDeadline(request) || !m_sliceValid || m_retryTokens < 1) {
+    if (!runsOnce || request.wasHedged || willMissDeadline(request) || !m_sliceValid || m_retryTokens < 1) {
         return;
     }
     const ServiceId service = request.info.service;
-    const bool hasRoom = m_issuer.committed(service) < localCapacity(service) && m_queues[idx(service)].local.empty();
-    const auto target = hasRoom ? m_pool.choose(service, request.triedTargets, m_now, m_random) : std::nullopt;
+    const bool hasFreeSlot =
+        m_issuer.committed(service) < localCapacity(service) && m_queues[idx(service)].local.empty();
+    const auto target = hasFreeSlot ? m_pool.choose(service, request.triedTargets, m_now, m_random) : std::nullopt;
     if (!target || !takeRetryToken()) {
         return;
     }
-    request.hedged = true;
+    request.wasHedged = true;
     m_issuer.startUse({Charge::Kind::Local, m_region, {}}, service);
     startAtTarget(request, *target, Reason::Hedge);
     request.attempts.back().isHedge = true;
--- a/lib/Steer/Config.cpp
+++ b/lib/Steer/Config.cpp
@@ -1,4 +1,4 @@
-//===- Config.cpp - Taking over what the control hosts decided ------------===//
+//===- Config.cpp - Application of configurations -------------------------===//
 #include "Impl.h"
 
 #include <algorithm>
@@ -35,7 +35,7 @@
 
 } // namespace
 
-// The index of the control log only moves forward: an old decision that arrives late changes nothing.
+// The control log's index only increases: a configuration that arrives out of order is ignored.
 void Steering::Impl::handle(const ConfigApplied &event)
 {
     if (event.index <= m_index) {
@@ -48,22 +48,22 @@
         m_issuer.remap(ids);
         m_holder.remap(ids);
         ids.services.apply(m_demand);
-        ids.services.apply(m_homeLookups);
+        ids.services.apply(m_localLookups);
         ids.services.apply(m_queues);
         for (ServiceQueue &queue : m_queues) {
             ids.regions.apply(queue.otherRegions);
         }
-        ids.hosts.apply(m_alive);
+        ids.hosts.apply(m_reportedAlive);
         remapRequests(ids);
     }
     m_bundle = event.bundle;
     m_index = event.index;
     m_demand.resize(m_bundle->services.size());
-    m_homeLookups.resize(m_bundle->services.size());
+    m_localLookups.resize(m_bundle->services.size());
     m_queues.resize(m_bundle->services.size());
-    m_alive.assign(m_bundle->hosts.size(), true);
+    m_reportedAlive.assign(m_bundle->hosts.size(), true);
     m_zonesByDistance = zonesByDistance(*m_bundle);
-    m_serves = servedServices(*m_bundle);
+    m_servedServices = servedServices(*m_bundle);
     m_ledger.setClaimTtl(std::chrono::duration_cast<std::chrono::seconds>(m_bundle->policy.claimTtl));
     m_drainedHosts.assign(m_bundle->hosts.size(), false);
     for (const std::string &name : event.drainedHosts) {
@@ -99,8 +99,8 @@
     }
 }
 
-// Requests in progress keep running whatever the bundle says: a change cuts nothing. What they used is forgotten where
-// the new bundle no longer knows it.
+// Requests in progress keep running: a new bundle interrupts none of a service that remains. Charges, targets and hosts
+// that the new bundle does not have are dropped from them.
 void Steering::Impl::remapRequests(const IdMap &ids)
 {
     std::vector<RequestId> orphans;
@@ -114,9 +114,9 @@
         if (request.info.callerZone) {
             request.info.callerZone = ids.zones(*request.info.callerZone);
         }
-        const bool holderIsGone = request.charge.kind == Charge::Kind::Holder && !ids.hosts(request.charge.holder);
-        const bool regionIsGone = request.charge.kind != Charge::Kind::Local && !ids.regions(request.charge.region);
-        if (holderIsGone || regionIsGone) {
+        const bool isHolderRemoved = request.charge.kind == Charge::Kind::Holder && !ids.hosts(request.charge.holder);
+        const bool isRegionRemoved = request.charge.kind != Charge::Kind::Local && !ids.regions(request.charge.region);
+        if (isHolderRemoved || isRegionRemoved) {
             request.isCharged = false;
         } else {
             request.charge.holder = ids.hosts(request.charge.holder).value_or(HostId{});
@@ -133,7 +133,7 @@
         request.triedTargets.clear();
         request.triedHosts.clear();
     }
-    // The service is gone: its requests end here, with their attempts cancelled.
+    // Requests of a service that was removed end here, and their attempts are cancelled.
     for (const RequestId id : orphans) {
         Request &request = m_requests.at(id);
         for (Attempt &attempt : request.attempts) {
--- a/lib/Steer/Impl.h
+++ b/lib/Steer/Impl.h
@@ -1,7 +1,8 @@
 //===- Impl.h - State of the entry host's reducer ----------------*- C++ -*-===//
 //
-// The state behind Steering. Its member functions are grouped by file: Config,
-// Placement, Attempts, OnceFlow, Lookup and Steering, which dispatches events.
+// The state of Steering. Its member functions are grouped by source file:
+// Config, Placement, Attempts, OnceFlow, Lookup, and Steering, which dispatches
+// events.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -19,43 +20,46 @@
 namespace pepperlug
 {
 
+/// One attempt of a request, at a target or at another entry host.
 struct Attempt {
     unsigned number = 0;
     std::optional<TargetId> target;
     std::optional<HostId> host;
     bool toOwner = false;
-    bool isHedge = false; ///< counted at the issuer on its own
+    bool isHedge = false; ///< charged at the issuer in addition to the request
     bool isRunning = true;
     TimePoint startedAt{};
 };
 
+/// Phase of a request.
 enum class Phase {
-    AwaitingClaimSync, ///< its claim is on the way to the disk
-    AwaitingCloseSync, ///< its claim is being closed as not run
-    AwaitingEarlierRequest, ///< an earlier request with the same key runs
+    AwaitingClaimSync, ///< its claim is being written to disk
+    AwaitingCloseSync, ///< the closing of its claim as not run is being written to disk
+    AwaitingEarlierRequest, ///< an earlier request with the same key is running
     Queued,
     Running,
-    Detached, ///< a once-only operation whose caller has been answered or has left
+    Detached, ///< a once-only operation whose caller has been answered or has disconnected
 };
 
+/// A request in progress.
 struct Request {
     RequestArrived info;
     Charge charge;
     Phase phase = Phase::Queued;
-    bool isCharged = false; ///< counted at the issuer
+    bool isCharged = false; ///< `charge` is counted at the issuer
     bool countsAsDemand = false; ///< part of the demand estimate
     bool holdsClaim = false;
-    bool maybeSent = false; ///< a target or another host may have got it
-    bool hedged = false;
+    bool maybeSent = false; ///< a target or another host may have received it
+    bool wasHedged = false;
     TimePoint arrivedAt{};
     std::vector<Attempt> attempts;
     std::vector<TargetId> triedTargets;
     std::vector<HostId> triedHosts;
-    Refuse pendingRefusal; ///< with AwaitingCloseSync
+    Refuse pendingRefusal; ///< valid in phase AwaitingCloseSync
 };
 
-/// Requests that wait for a slot. Callers of other regions wait apart, by region: what holds them up, a cap or their
-/// share, must not hold up own callers.
+/// Requests of one service that wait for a slot. Those of callers of other regions are queued separately, by region: a
+/// cap or a share that holds them up must not delay callers of this region.
 struct ServiceQueue {
     std::deque<RequestId> local;
     std::map<RegionId, std::deque<RequestId>> otherRegions;
@@ -70,6 +74,7 @@
     }
 };
 
+/// State of the reducer.
 class Steering::Impl
 {
 public:
@@ -98,7 +103,7 @@
 
     // Placement.cpp
     Charge chargeOf(const RequestArrived &info) const;
-    /// Starts the request, queues it, or says why neither is possible.
+    /// Starts or queues the request, or returns the reason why neither is possible.
     std::optional<Reason> place(Request &request);
     std::optional<Reason> tryLocal(Request &request);
     bool tryLease(Request &request);
@@ -108,14 +113,17 @@
     void runQueue(ServiceId service);
     void runQueue(ServiceId service, std::deque<RequestId> &queue);
     std::deque<RequestId> &queueOf(const Request &request);
+    /// Returns true if no queued request has precedence over this one.
     bool noneQueuedAhead(const Request &request);
-    /// Time that one more request would wait behind those that wait already, for `slots` to come free.
+    /// Returns the expected wait of a further request behind `waiting` others that share `slots`.
     Duration queueWait(ServiceId service, std::size_t waiting, unsigned slots) const;
     Duration localQueueWait(ServiceId service) const;
-    /// Region to which a request of this charge may be sent on; nothing for any.
+    /// Returns the only region to which a request with this charge may be forwarded, or nothing if any is allowed.
     std::optional<RegionId> forwardRegion(const Charge &charge) const;
-    /// Whether going to the nearest lease adds less time than waiting here.
+    /// Returns true if forwarding to the nearest lease adds less latency than the queue here, or if there is no
+    /// capacity here.
     bool isLeaseFaster(ServiceId service, std::optional<RegionId> region, const std::vector<HostId> &excluded) const;
+    /// Returns true if a request started now would be expected to miss its deadline.
     bool willMissDeadline(const Request &request) const;
     void startAtTarget(Request &request, TargetId target, Reason reason);
     void startAtHost(Request &request, HostId host, Reason reason, bool toOwner);
@@ -126,6 +134,7 @@
 
     // Attempts.cpp
     void endAttempt(Request &request, Attempt &attempt, AttemptResult result);
+    /// Releases what an attempt used besides its target.
     void releaseAttempt(const Request &request, Attempt &attempt);
     void handleFailedAttempt(Request &request, const Attempt &attempt, AttemptResult result);
     void cancelAttempts(Request &request);
@@ -137,12 +146,13 @@
     std::string peerName(const Attempt &attempt) const;
 
     // OnceFlow.cpp
-    /// Returns true if the request goes on to be placed now.
+    /// Claims the operation of a once-only request. Returns true if the request is to be placed now.
     bool claim(Request &request);
     void startAtOwner(Request &request, const OperationKey &key);
     void finishClaim(Request &request, const AttemptEnded &event);
-    /// Closes the claim of a refused request. Returns true if the refusal has to wait for a disk.
+    /// Closes the claim of a refused request. Returns true if the refusal has to wait until that is on disk.
     bool closeClaim(Request &request, const Refuse &refusal);
+    /// Answers the requests that waited for the earlier request with their key.
     void answerWaiters(const std::string &key);
 
     // Lookup.cpp
@@ -150,7 +160,7 @@
     std::vector<HostId> candidateHosts(const LookupArrived &event);
     void shuffleByFreeSlots(std::vector<HostId> &hosts, std::size_t from, ServiceId service);
     unsigned freeSlotsAt(HostId host, ServiceId service) const;
-    /// Slots that a caller who keeps a look-up answer uses about.
+    /// Returns the mean number of slots in use per cached look-up answer.
     double slotsPerLookup(ServiceId service) const;
     bool reserveLookup(const LookupArrived &event, HostId host);
     bool serves(ZoneId zone, ServiceId service) const;
@@ -164,6 +174,7 @@
     std::vector<unsigned> capacities() const;
     std::vector<unsigned> localNeeds() const;
     void runTimers();
+    /// Emits StopReady once a stop is requested and complete.
     void checkStop();
     void checkPeers();
     void reportChange(std::string what, std::string subject, std::string detail = {});
@@ -186,12 +197,12 @@
 
     BundlePtr m_bundle;
     std::uint64_t m_index = 0;
-    std::optional<HostId> m_self; ///< nothing if the bundle does not name this host
+    std::optional<HostId> m_self; ///< empty if the bundle does not name this host
     ZoneId m_zone{};
     RegionId m_region{};
     std::vector<bool> m_drainedHosts; ///< by HostId
     std::vector<std::vector<ZoneId>> m_zonesByDistance; ///< by ZoneId of the caller
-    std::vector<std::vector<bool>> m_serves; ///< by ZoneId, then ServiceId
+    std::vector<std::vector<bool>> m_servedServices; ///< by ZoneId, then ServiceId
 
     TargetPool m_pool;
     LeaseIssuer m_issuer;
@@ -199,9 +210,9 @@
     SliceGuard m_guard;
     bool m_sliceValid = false;
     std::vector<DemandEstimator> m_demand; ///< by ServiceId
-    std::vector<ExpiringCount> m_homeLookups; ///< by ServiceId: answers that name this host to callers of its region
+    std::vector<ExpiringCount> m_localLookups; ///< by ServiceId: cached answers naming this host to its own region
     std::vector<ServiceQueue> m_queues; ///< by ServiceId
-    std::vector<bool> m_alive; ///< by HostId, as last told
+    std::vector<bool> m_reportedAlive; ///< by HostId, as last reported
 
     Ledger m_ledger;
     std::unordered_map<std::string, std::vector<RequestId>> m_waiters; ///< by key
@@ -210,8 +221,8 @@
 
     RoundRobinChooser m_roundRobin;
     double m_retryTokens = 0;
-    std::optional<TimePoint> m_stopAskedAt;
-    bool m_stopTold = false;
+    std::optional<TimePoint> m_stopRequestedAt;
+    bool m_stopReported = false;
     TimePoint m_nextLedgerSweep{};
 };
 
--- a/lib/Steer/Lookup.cpp
+++ b/lib/Steer/Lookup.cpp
@@ -1,7 +1,7 @@
-//===- Lookup.cpp - Which entry host a caller should use ------------------===//
+//===- Lookup.cpp - Answers to look-ups -----------------------------------===//
 //
-// Callers keep the answer for a time, so one that moves them to another region uses up capacity there until that time
-// has passed, just as a forwarded request does while it runs.
+// Callers cache a look-up answer until its TTL expires. An answer that sends callers to another region therefore uses
+// capacity there for the TTL, as a forwarded request does while it runs.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -20,45 +20,46 @@
 
 bool Steering::Impl::serves(ZoneId zone, ServiceId service) const
 {
-    return m_serves[idx(zone)][idx(service)];
+    return m_servedServices[idx(zone)][idx(service)];
 }
 
-// Whether callers of the look-up may be sent to this host; if so, the use of it is noted. Within the callers' own
-// region nothing is spent: that is no shift.
+// Returns true if the look-up's callers may be sent to the host; if so, their expected use is recorded. For callers
+// of this region that this host serves itself nothing is recorded, since that is no shift.
 bool Steering::Impl::reserveLookup(const LookupArrived &event, HostId host)
 {
     const ServiceId service = event.service;
     const RegionId from = event.callerZone ? m_bundle->regionOf(*event.callerZone) : m_region;
     if (host == *m_self) {
-        // By mean demand, not by what is free this moment: a full slice with a short queue is no reason to move
-        // callers.
+        // Mean demand decides, not the slots that are free at this moment: a full slice with a short queue is no reason
+        // to move callers.
         const unsigned capacity = localCapacity(service);
         const unsigned takenByOthers = m_issuer.committed(service) - m_issuer.localUsed(service);
-        const bool hasRoom = m_demand[idx(service)].offeredLoad() + takenByOthers < capacity;
-        if (from == m_region || !hasRoom) {
-            return hasRoom;
+        const bool hasCapacity = m_demand[idx(service)].offeredLoad() + takenByOthers < capacity;
+        if (from == m_region || !hasCapacity) {
+            return hasCapacity;
         }
         return m_issuer.admitLookup(from, service, slotsPerLookup(service), m_now + m_bundle->policy.lookupTtl, m_now);
     }
     if (from == m_bundle->regionOf(host) && !m_holder.lastContact(host)) {
-        return true; // nothing is known against it
+        return true; // no report of the host yet
     }
-    // The host itself counts and caps those who come to it from another region.
+    // The host itself counts and limits callers who arrive from another region.
     return m_holder.spendLookupCredit(host, service, slotsPerLookup(service));
 }
 
-// Measured: what own callers use, over the answers that they keep. The bundle's figure stands in until there are some.
+// Slots that callers of this region use, divided by the answers that they cache. The bundle's value applies until
+// enough answers are cached.
 double Steering::Impl::slotsPerLookup(ServiceId service) const
 {
-    const double kept = m_homeLookups[idx(service)].total();
-    constexpr double EnoughToMeasure = 10;
-    if (kept < EnoughToMeasure) {
+    const double cachedAnswers = m_localLookups[idx(service)].total();
+    constexpr double MinCachedAnswers = 10;
+    if (cachedAnswers < MinCachedAnswers) {
         return 1.0 / m_bundle->policy.lookupsPerSlot;
     }
-    return std::min(1.0, m_demand[idx(service)].offeredLoad() / kept);
+    return std::min(1.0, m_demand[idx(service)].offeredLoad() / cachedAnswers);
 }
 
-// Slots that the host could give to callers, as far as is known here; at least one, so that none is left out for good.
+// Free slots of the host as far as known here; at least one, so that no host is excluded permanently.
 unsigned Steering::Impl::freeSlotsAt(HostId host, ServiceId service) const
 {
     if (host != *m_self) {
@@ -67,8 +68,8 @@
     return m_issuer.spare(service, localCapacity(service), localNeed(service)) + 1;
 }
 
-// Hosts that may be named for a caller, nearest first. Those that are equally near come in random order, weighted by
-// the room that they have: in a fixed order, callers of a lost region would all fall on the same zone.
+// Hosts that may be named to a caller, nearest first. Equally near hosts are in random order, weighted by their free
+// slots: in a fixed order, all callers of a lost region would be sent to the same zone.
 std::vector<HostId> Steering::Impl::candidateHosts(const LookupArrived &event)
 {
     const ZoneId callerZone = event.callerZone.value_or(m_zone);
@@ -78,15 +79,15 @@
     for (std::size_t n = 0; n < zones.size(); ++n) {
         if (serves(zones[n], event.service)) {
             for (const HostId host : m_bundle->zones[idx(zones[n])].hosts) {
-                const bool isLeaving = m_holder.isLeaving(host) || (host == *m_self && m_stopAskedAt);
+                const bool isLeaving = m_holder.isLeaving(host) || (host == *m_self && m_stopRequestedAt);
                 if (m_holder.isAlive(host, m_now) && !isLeaving && !isDrainedHost(host)) {
                     all.push_back(host);
                 }
             }
         }
-        const bool endsGroup = n + 1 == zones.size()
+        const bool isGroupEnd = n + 1 == zones.size()
             || m_bundle->latency(callerZone, zones[n]) != m_bundle->latency(callerZone, zones[n + 1]);
-        if (endsGroup) {
+        if (isGroupEnd) {
             shuffleByFreeSlots(all, groupStart, event.service);
             groupStart = all.size();
         }
@@ -94,31 +95,31 @@
     return all;
 }
 
-// Only as many places are drawn as an answer has: in a system with many zones most hosts are equally far.
+// Only as many hosts are drawn as an answer holds: in a system with many zones most hosts are equally far.
 void Steering::Impl::shuffleByFreeSlots(std::vector<HostId> &hosts, std::size_t from, ServiceId service)
 {
-    std::vector<unsigned> rooms;
+    std::vector<unsigned> weights;
     unsigned total = 0;
     for (std::size_t n = from; n < hosts.size(); ++n) {
-        rooms.push_back(freeSlotsAt(hosts[n], service));
-        total += rooms.back();
+        weights.push_back(freeSlotsAt(hosts[n], service));
+        total += weights.back();
     }
-    const std::size_t places = std::min(rooms.size(), MaxHostsInAnswer);
+    const std::size_t places = std::min(weights.size(), MaxHostsInAnswer);
     for (std::size_t place = 0; place < places; ++place) {
         auto drawn = static_cast<unsigned>(m_random() % total);
         std::size_t n = place;
-        while (drawn >= rooms[n]) {
-            drawn -= rooms[n];
+        while (drawn >= weights[n]) {
+            drawn -= weights[n];
             ++n;
         }
-        total -= rooms[n];
-        std::swap(rooms[place], rooms[n]);
+        total -= weights[n];
+        std::swap(weights[place], weights[n]);
         std::swap(hosts[from + place], hosts[from + n]);
     }
 }
 
-// The first host is one that has room as far as this host can know; the others follow by distance, from at least one
-// other zone where there is one, for the case that the first can't be reached.
+// The first host has free slots as far as known here. The others follow by distance, as alternatives if the first can't
+// be reached, and include a host of another zone if there is one.
 std::vector<HostId> Steering::Impl::rankHosts(const LookupArrived &event)
 {
     std::vector<HostId> hosts = candidateHosts(event);
@@ -130,7 +131,7 @@
     if (hosts.size() <= MaxHostsInAnswer) {
         return hosts;
     }
-    // Keep one host of another zone, or the answer is of no use when a whole zone is lost.
+    // Keep a host of another zone; otherwise the answer is useless if a whole zone is lost.
     const auto isElsewhere = [&](HostId host) {
         return m_bundle->hosts[idx(host)].zone != m_bundle->hosts[idx(hosts.front())].zone;
     };
@@ -143,16 +144,16 @@
     return hosts;
 }
 
-// The home of a caller's operations is the host that it is sent to: no hop is needed then, and a host that is leaving
-// gives nobody its own ledger any more, which will soon be gone.
+// The owner of a caller's keys is the host that the caller is sent to, which saves a hop. If that host's ledger is
+// unknown it is this host, but not while it is leaving, because its ledger will soon be gone.
 std::optional<HomeToken> Steering::Impl::ownerTokenOf(HostId host) const
 {
     if (host == *m_self) {
         return m_ledger.token(m_now);
     }
     const std::optional<HomeToken> token = m_holder.ownerToken(host, m_bundle->hosts[idx(host)].name);
-    const bool isOwnOfUse = !m_stopAskedAt && !isDrainedHost(*m_self);
-    return token || !isOwnOfUse ? token : std::optional(m_ledger.token(m_now));
+    const bool mayOwn = !m_stopRequestedAt && !isDrainedHost(*m_self);
+    return token || !mayOwn ? token : std::optional(m_ledger.token(m_now));
 }
 
 void Steering::Impl::handle(const LookupArrived &event)
@@ -171,7 +172,7 @@
     answer.ttl = m_bundle->policy.lookupTtl;
     const bool isOwnCaller = !event.callerZone || m_bundle->regionOf(*event.callerZone) == m_region;
     if (isOwnCaller && answer.hosts.front() == *m_self) {
-        m_homeLookups[idx(event.service)].add(m_now + answer.ttl, 1);
+        m_localLookups[idx(event.service)].add(m_now + answer.ttl, 1);
     }
     answer.ownerToken = ownerTokenOf(answer.hosts.front());
     answer.bundleVersion = m_bundle->version;
--- a/lib/Steer/OnceFlow.cpp
+++ b/lib/Steer/OnceFlow.cpp
@@ -1,8 +1,8 @@
-//===- OnceFlow.cpp - The way of a once-only operation --------------------===//
+//===- OnceFlow.cpp - Claims of once-only operations ----------------------===//
 //
-// Only the home of a key may claim it, and only the holder of a fresh claim may dispatch. What a caller is told speaks
-// of the operation: another request with the same key may have run it, so "not run" is said only by the home, after it
-// has closed the claim for good.
+// Only the owner of a key may claim it, and only the request that was granted the claim may be dispatched. The outcome
+// in an answer concerns the operation: another request with the same key may have run it, so only the key's owner
+// answers "not run", after it has closed the claim permanently.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -70,12 +70,12 @@
         refuse(request, Outcome::Unknown, Reason::LoopRefused, {});
         return;
     }
-    const std::optional<HostId> home = m_bundle->findHost(key.home.host);
-    if (!home) {
+    const std::optional<HostId> owner = m_bundle->findHost(key.home.host);
+    if (!owner) {
         refuse(request, Outcome::Unknown, Reason::KeyForeign, key.home.host);
         return;
     }
-    startAtHost(request, *home, Reason::Owner, true);
+    startAtHost(request, *owner, Reason::Owner, true);
 }
 
 void Steering::Impl::handle(const ClaimSynced &event)
@@ -137,7 +137,7 @@
     return mustWait;
 }
 
-// Requests that came while the first one with their key was running get what came of it.
+// Requests that arrived while an earlier one with their key was running get its result.
 void Steering::Impl::answerWaiters(const std::string &key)
 {
     const auto it = m_waiters.find(key);
@@ -150,7 +150,7 @@
         const auto found = m_requests.find(id);
         if (found != m_requests.end() && found->second.phase == Phase::AwaitingEarlierRequest) {
             [[maybe_unused]] const bool isGranted = claim(found->second);
-            assert(!isGranted && "an ended claim was granted again");
+            assert(!isGranted && "a closed claim was granted again");
         }
     }
 }
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -1,7 +1,8 @@
-//===- Placement.cpp - Where a request runs -------------------------------===//
+//===- Placement.cpp - Placement of requests ------------------------------===//
 //
-// Own slice first, then the nearest lease with room, then a short queue, else an honest refusal at once. Where the own
-// slice is full, waiting for it and going further are weighed by the time that each adds.
+// A request is placed on the own slice first, then under the nearest lease with free slots, then in a short queue;
+// otherwise it is refused at once. If the own slice is full, the queue and the lease are compared by the latency that
+// each adds.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -16,24 +17,24 @@
 
 constexpr auto MinRetryAfter = Milliseconds(100);
 constexpr auto MaxRetryAfter = Milliseconds(10000);
-constexpr double MaxRetryTokens = 10;
-constexpr unsigned MinQueue = 8; ///< small slices see larger swings
-constexpr std::size_t MaxNeighbours = 2; ///< asked one after the other for one request
-constexpr std::size_t ForeignTurns = 1; ///< callers of another region that may wait for each slot that they hold
+constexpr double MaxRetryTokens = 10; ///< depth of the retry budget, in retries
+constexpr unsigned MinQueueLimit = 8; ///< requests; demand swings relatively more on small slices
+constexpr std::size_t MaxNeighbours = 2; ///< hosts of this region tried in turn for one request
+constexpr std::size_t QueuedPerHeldSlot = 1; ///< queued requests of another region per slot that it holds
 
 } // namespace
 
-// A caller of another region counts against that region's cap and link wherever in this region its request comes in, so
-// one that a neighbour passes on counts as if it had come here itself.
+// A caller of another region counts against that region's shift cap and link limit regardless of the host of this
+// region that receives its request, so a request forwarded by a host of this region counts as if received directly.
 Charge Steering::Impl::chargeOf(const RequestArrived &info) const
 {
-    const bool isForeign = info.callerZone && m_bundle->regionOf(*info.callerZone) != m_region;
-    const bool fromNeighbour = info.forwardedBy && m_bundle->regionOf(*info.forwardedBy) == m_region;
-    const bool underLease = info.forwardedBy && !info.toOwner && !(isForeign && fromNeighbour);
+    const bool isOtherRegion = info.callerZone && m_bundle->regionOf(*info.callerZone) != m_region;
+    const bool forwardedInRegion = info.forwardedBy && m_bundle->regionOf(*info.forwardedBy) == m_region;
+    const bool underLease = info.forwardedBy && !info.toOwner && !(isOtherRegion && forwardedInRegion);
     if (underLease && m_settings.strategy == Strategy::Leases) {
         return {Charge::Kind::Holder, m_bundle->regionOf(*info.forwardedBy), *info.forwardedBy};
     }
-    if (isForeign && m_settings.strategy == Strategy::Leases) {
+    if (isOtherRegion && m_settings.strategy == Strategy::Leases) {
         return {Charge::Kind::Region, m_bundle->regionOf(*info.callerZone), {}};
     }
     return {Charge::Kind::Local, m_region, {}};
@@ -71,18 +72,18 @@
     if (m_settings.strategy != Strategy::Leases) {
         return placeByBaseline(request);
     }
-    // Whoever waits already goes first, unless this request may go where the waiting ones may not.
-    const bool mayOvertake = request.charge.kind == Charge::Kind::Holder || noneQueuedAhead(request);
+    // Queued requests have precedence, unless this request may use slots that they may not.
+    const bool mayTryLocal = request.charge.kind == Charge::Kind::Holder || noneQueuedAhead(request);
     std::optional<Reason> reason = Reason::NoCapacity;
-    if (mayOvertake) {
+    if (mayTryLocal) {
         reason = tryLocal(request);
         if (!reason) {
             return std::nullopt;
         }
     }
-    const bool wasPassedOn = request.info.forwardedBy && !request.info.toOwner;
-    if (wasPassedOn) {
-        return reason; // the host that it came from decides where it goes next
+    const bool wasForwarded = request.info.forwardedBy && !request.info.toOwner;
+    if (wasForwarded) {
+        return reason; // the forwarding host decides on the next attempt
     }
     const std::optional<RegionId> region = forwardRegion(request.charge);
     if (isLeaseFaster(request.info.service, region, request.triedHosts) && tryLease(request)) {
@@ -119,8 +120,8 @@
     return std::nullopt;
 }
 
-// A caller of another region whom this host can't serve is sent on to its own region only: sending it to a third one
-// would be a shift that no cap here accounts for.
+// A request of a caller of another region that this host can't serve is forwarded to the caller's own region only:
+// forwarding it to a third region would be a shift that no cap here accounts for.
 bool Steering::Impl::tryLease(Request &request)
 {
     const std::optional<RegionId> region = forwardRegion(request.charge);
@@ -133,7 +134,8 @@
     return true;
 }
 
-// A caller of another region may be served anywhere in this one; a neighbour that said it has room is asked.
+// A caller of another region may be served by any host of this region, so the request is forwarded to one that reported
+// spare slots.
 bool Steering::Impl::tryNeighbour(Request &request)
 {
     if (request.charge.kind != Charge::Kind::Region) {
@@ -141,7 +143,8 @@
     }
     auto host = m_holder.chooseWithSpare(request.info.service, m_region, request.triedHosts, m_now);
     if (!host && !m_queues[idx(request.info.service)].local.empty()) {
-        // What a neighbour said is a little old; where own callers wait here already, asking it costs least.
+        // Reported spare slots may be out of date. If callers of this region are queued here, trying another host is
+        // the cheapest option.
         host = m_holder.chooseAlive(m_region, request.triedHosts, m_now);
     }
     if (!host || request.attempts.size() >= MaxNeighbours) {
@@ -219,20 +222,20 @@
     return localCapacity(service) == 0 || Duration(oneWay) * 2 < localQueueWait(service);
 }
 
-// Callers of another region wait only where they hold slots here that will come free, and not for more than about two
-// turns of them: what a cap does not allow now is refused now.
+// Callers of another region are queued only if they hold slots here that will become free, and for about two turns of
+// these slots at most: a request that a cap does not allow now is refused now.
 bool Steering::Impl::enqueue(Request &request)
 {
     const ServiceId service = request.info.service;
     std::deque<RequestId> &queue = queueOf(request);
-    // As many in line as there are slots keep every slot busy; a longer queue adds wait and serves hardly anybody more.
-    const unsigned useful = std::max(localCapacity(service), MinQueue);
-    std::size_t limit = std::min(m_bundle->services[idx(service)].queue, useful);
+    // A queue as long as the number of slots keeps every slot busy; a longer one adds wait and hardly any throughput.
+    const unsigned usefulLength = std::max(localCapacity(service), MinQueueLimit);
+    std::size_t limit = std::min(m_bundle->services[idx(service)].queue, usefulLength);
     Duration wait = localQueueWait(service);
     if (request.charge.kind == Charge::Kind::Region) {
         const unsigned held = m_issuer.heldByRegion(request.charge.region, service);
-        // Behind own callers who wait already, the wait has no bound.
-        limit = m_queues[idx(service)].local.empty() ? std::min<std::size_t>(limit, held * ForeignTurns) : 0;
+        // Behind queued callers of this region, the wait is unbounded.
+        limit = m_queues[idx(service)].local.empty() ? std::min<std::size_t>(limit, held * QueuedPerHeldSlot) : 0;
         wait = queueWait(service, queue.size(), held);
     }
     const bool isTooLate = m_now + wait + m_pool.meanLatency(service) >= request.info.deadline;
@@ -251,12 +254,12 @@
     return m_now + m_pool.meanLatency(request.info.service) > request.info.deadline;
 }
 
-// Requests that can no longer be served in time are answered here and now, not held until their deadline.
+// Requests that can no longer meet their deadline are refused now, not held until the deadline.
 void Steering::Impl::runQueue(ServiceId service)
 {
     runQueue(service, m_queues[idx(service)].local);
     if (!m_queues[idx(service)].local.empty()) {
-        return; // own callers first
+        return; // callers of this region have precedence
     }
     for (auto &[region, queue] : m_queues[idx(service)].otherRegions) {
         runQueue(service, queue);
@@ -274,7 +277,7 @@
         Request &request = it->second;
         if (willMissDeadline(request)) {
             queue.pop_front();
-            // A read that waits for another attempt may have run in its first.
+            // A read that is queued for another attempt may have run in its first one.
             refuse(request, request.maybeSent ? Outcome::Unknown : Outcome::NotRun, Reason::NoCapacity, {});
             continue;
         }
@@ -302,7 +305,7 @@
     logDecision(request, attempt.number == 0 || reason == Reason::Hedge ? reason : Reason::Retry, target, std::nullopt,
                 attempt.number);
     m_out->emplace_back(Dispatch{request.info.id, attempt.number, target, request.info.deadline});
-    const bool mayHedge = request.info.cls == RouteClass::Read && !request.hedged && !request.info.forwardedBy;
+    const bool mayHedge = request.info.cls == RouteClass::Read && !request.wasHedged && !request.info.forwardedBy;
     if (mayHedge && m_pool.meanLatency(request.info.service) > Duration{}) {
         m_timers.push({m_now + m_pool.hedgeDelay(request.info.service), request.info.id, TimerKind::Hedge});
     }
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -1,7 +1,7 @@
 //===- Steering.cpp - The reducer of an entry host ------------------------===//
 //
-// Dispatches events to the parts of the state and runs what time brings. Everything that is decided is decided under
-// one caller at a time, so the sums that promises rest on never race.
+// Dispatches events to the parts of the state and runs timers and periodic work. Events are applied one at a time, so
+// the sums of committed capacity are never subject to races.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr auto StopGrace = Milliseconds(500); ///< for look-up answers on their way
+constexpr auto StopGrace = Milliseconds(500); ///< delivery time of look-up answers
 constexpr auto LedgerSweepInterval = std::chrono::seconds(1);
 
 } // namespace
@@ -108,10 +108,10 @@
 
 void Steering::Impl::handle(const StopRequested &)
 {
-    if (m_stopAskedAt) {
+    if (m_stopRequestedAt) {
         return;
     }
-    m_stopAskedAt = m_now;
+    m_stopRequestedAt = m_now;
     m_holder.makeAllDue();
     reportChange("stop asked", m_settings.hostName);
 }
@@ -124,7 +124,7 @@
     }
     m_pool.refresh(m_now, *m_out);
     m_issuer.refresh(m_now);
-    for (ExpiringCount &lookups : m_homeLookups) {
+    for (ExpiringCount &lookups : m_localLookups) {
         lookups.expire(m_now);
     }
     refreshSlice();
@@ -154,8 +154,8 @@
         const unsigned committed = m_issuer.committed(service);
         const unsigned takenByOthers = committed - localUsed;
         const unsigned capacity = localCapacity(service);
-        const unsigned room = capacity > takenByOthers ? capacity - takenByOthers : 0;
-        overflow[n] = demand > room ? demand - room : 0;
+        const unsigned available = capacity > takenByOthers ? capacity - takenByOthers : 0;
+        overflow[n] = demand > available ? demand - available : 0;
     }
     m_holder.poll(overflow, ownStatus(), m_now, *m_out);
 }
@@ -163,7 +163,7 @@
 HostStatus Steering::Impl::ownStatus() const
 {
     const HomeToken token = m_ledger.token(m_now);
-    const bool isLeaving = m_stopAskedAt.has_value() || isDrainedHost(*m_self);
+    const bool isLeaving = m_stopRequestedAt.has_value() || isDrainedHost(*m_self);
     return {m_index, isLeaving, token.ledgerId, token.issued};
 }
 
@@ -186,29 +186,30 @@
 
 void Steering::Impl::checkPeers()
 {
-    m_alive.resize(m_bundle->hosts.size(), true);
+    m_reportedAlive.resize(m_bundle->hosts.size(), true);
     for (const HostId host : m_holder.issuers()) {
         const bool isAlive = m_holder.isAlive(host, m_now);
-        if (m_alive[idx(host)] != isAlive) {
+        if (m_reportedAlive[idx(host)] != isAlive) {
             reportChange(isAlive ? "host heard again" : "host lost", m_bundle->hosts[idx(host)].name);
         }
-        m_alive[idx(host)] = isAlive;
+        m_reportedAlive[idx(host)] = isAlive;
     }
 }
 
-// Callers may keep a look-up answer that names this host until its time is over. Other hosts hand such answers out
-// until they hear that this one is leaving, which takes an exchange; and an answer takes a while to reach its caller.
+// Callers cache a look-up answer that names this host until its TTL expires. Other hosts give such answers until they
+// receive the report that this host is leaving, which takes one exchange, and an answer takes a while to reach its
+// caller.
 void Steering::Impl::checkStop()
 {
-    if (!m_stopAskedAt || m_stopTold || !m_requests.empty()) {
+    if (!m_stopRequestedAt || m_stopReported || !m_requests.empty()) {
         return;
     }
     const Duration ttl = m_bundle ? Duration(m_bundle->policy.lookupTtl) : Duration{};
-    const Duration spread = m_self ? m_holder.exchangeInterval() + StopGrace : Duration{};
-    if (m_now < *m_stopAskedAt + ttl + spread) {
+    const Duration propagation = m_self ? m_holder.exchangeInterval() + StopGrace : Duration{};
+    if (m_now < *m_stopRequestedAt + ttl + propagation) {
         return;
     }
-    m_stopTold = true;
+    m_stopReported = true;
     reportChange("stop ready", m_settings.hostName);
     m_out->emplace_back(StopReady{});
 }
