--- a/lib/Steer/Describe.cpp
+++ b/lib/Steer/Describe.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// One overload for each effect; ids become the names that operators know.
+// Has one overload per effect. Ids are replaced by names.
 class Describer
 {
 public:
--- a/lib/Steer/Trace.h
+++ b/lib/Steer/Trace.h
@@ -1,8 +1,8 @@
-//===- Trace.h - Events as lines of a trace ----------------------*- C++ -*-===//
+//===- Trace.h - Reading of trace lines --------------------------*- C++ -*-===//
 //
-// A trace holds the settings of the reducer, its events with their times, and
-// stated outcomes. Ids are stored as numbers: they mean positions in the bundle
-// that the trace carries.
+// A trace contains the settings of the reducer, its events with their times, and
+// expected outcomes. Ids are stored as numbers, which are indices into the
+// bundle in the trace.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -12,10 +12,10 @@
 namespace pepperlug
 {
 
-/// Reads the event of a line. Throws Error with the file on an unknown one, and the JSON library's own on a malformed
-/// one.
+/// Reads the event of a line. Throws Error with the file if the event is unknown, and the JSON library's exception if
+/// the line is malformed.
 Event readEvent(const nlohmann::json &line, const std::string &file);
-/// Time of a line's `key`, in nanoseconds.
+/// Returns the time under `key` of a line, stored in nanoseconds.
 TimePoint readTime(const nlohmann::json &line, const char *key);
 
 } // namespace pepperlug
--- a/lib/Steer/TraceReader.cpp
+++ b/lib/Steer/TraceReader.cpp
@@ -1,4 +1,4 @@
-//===- TraceReader.cpp - Lines of a trace become events -------------------===//
+//===- TraceReader.cpp - Trace lines to events ----------------------------===//
 #include "Trace.h"
 
 namespace pepperlug
--- a/lib/Steer/TraceReplay.cpp
+++ b/lib/Steer/TraceReplay.cpp
@@ -1,4 +1,4 @@
-//===- TraceReplay.cpp - Replay against stated outcomes -------------------===//
+//===- TraceReplay.cpp - Replay of traces against expected outcomes -------===//
 #include "Trace.h"
 
 #include <algorithm>
@@ -11,7 +11,8 @@
 
 using nlohmann::json;
 
-// Checks the outcomes that a trace states.
+// Replays a trace and checks its expected outcomes. An "expect" line applies to the effects of the last event or to the
+// state after it, an "always" line to the state after every event that follows.
 class TraceReplay
 {
 public:
@@ -35,9 +36,9 @@
         }
     }
 
-    std::size_t held() const
+    std::size_t metOutcomes() const
     {
-        return m_held;
+        return m_metOutcomes;
     }
 
 private:
@@ -51,7 +52,7 @@
         if (line.contains("settings")) {
             start(line);
         } else if (!m_steering) {
-            fail("the first line must hold the settings");
+            fail("expected a line with \"settings\" first");
         } else if (line.contains("event")) {
             m_effects.clear();
             const Event event = readEvent(line, m_file);
@@ -61,11 +62,11 @@
             checkAlways();
         } else if (line.contains("expect")) {
             expect(line);
-            ++m_held;
+            ++m_metOutcomes;
         } else if (line.contains("always")) {
             m_always.push_back(line.at("always"));
         } else {
-            fail("is neither settings, event, expect nor always");
+            fail("expected a line with \"settings\", \"event\", \"expect\" or \"always\"");
         }
     }
 
@@ -84,7 +85,7 @@
     void countArrival(const Event &event)
     {
         if (const auto *request = std::get_if<RequestArrived>(&event)) {
-            ++m_open[idx(request->id)];
+            ++m_openRequests[idx(request->id)];
         }
     }
 
@@ -92,23 +93,23 @@
     {
         for (const Effect &effect : m_effects) {
             if (const auto *finish = std::get_if<RelayAnswer>(&effect)) {
-                end(idx(finish->id));
+                endRequest(idx(finish->id));
             } else if (const auto *stored = std::get_if<SendStoredAnswer>(&effect)) {
-                end(idx(stored->id));
+                endRequest(idx(stored->id));
             } else if (const auto *refuse = std::get_if<Refuse>(&effect)) {
-                end(idx(refuse->id));
+                endRequest(idx(refuse->id));
             }
         }
     }
 
-    void end(std::size_t id)
+    void endRequest(std::size_t id)
     {
-        const auto it = m_open.find(id);
-        if (it == m_open.end()) {
+        const auto it = m_openRequests.find(id);
+        if (it == m_openRequests.end()) {
             return; // a look-up
         }
         if (it->second == 0) {
-            fail("request " + std::to_string(id) + " was ended twice");
+            fail("request " + std::to_string(id) + " ended twice");
         }
         it->second = 0;
     }
@@ -130,16 +131,17 @@
         } else if (kind == "view") {
             checkView(line);
         } else if (kind == "all-ended") {
-            const bool isOpen = std::any_of(m_open.begin(), m_open.end(), [](const auto &it) { return it.second > 0; });
+            const bool isOpen =
+                std::any_of(m_openRequests.begin(), m_openRequests.end(), [](const auto &it) { return it.second > 0; });
             if (isOpen) {
-                fail("a request was never ended");
+                fail("a request never ended");
             }
         } else {
-            fail("\"" + kind + "\" is not a known outcome");
+            fail("\"" + kind + "\" is not a known kind of outcome");
         }
     }
 
-    bool fits(const Effect &effect, const json &fields) const
+    bool matches(const Effect &effect, const json &fields) const
     {
         const json described = describe(effect, m_steering->bundle());
         return std::all_of(fields.items().begin(), fields.items().end(), [&](const auto &it) {
@@ -149,15 +151,15 @@
 
     void expectEffect(const json &fields)
     {
-        if (std::none_of(m_effects.begin(), m_effects.end(), [&](const Effect &it) { return fits(it, fields); })) {
-            fail("no effect has " + fields.dump());
+        if (std::none_of(m_effects.begin(), m_effects.end(), [&](const Effect &it) { return matches(it, fields); })) {
+            fail("expected an effect with " + fields.dump());
         }
     }
 
     void expectNoEffect(const json &fields)
     {
-        if (std::any_of(m_effects.begin(), m_effects.end(), [&](const Effect &it) { return fits(it, fields); })) {
-            fail("an effect has " + fields.dump());
+        if (std::any_of(m_effects.begin(), m_effects.end(), [&](const Effect &it) { return matches(it, fields); })) {
+            fail("expected no effect with " + fields.dump());
         }
     }
 
@@ -168,7 +170,7 @@
         }
         const auto service = m_steering->bundle()->findService(it.at("service").get<std::string>());
         if (!service) {
-            fail("no such service");
+            fail("\"service\" is not a service of the bundle");
         }
         const ServiceView view = m_steering->view(*service);
         const std::map<std::string, unsigned> fields{{"slice", view.sliceSlots},   {"capacity", view.capacity},
@@ -177,7 +179,7 @@
                                                      {"queued", view.queued}};
         const auto field = fields.find(it.at("field").get<std::string>());
         if (field == fields.end()) {
-            fail("no such field");
+            fail("\"field\" is not a field of a service view");
         }
         const unsigned limit = it.contains("at_most_field") ? fields.at(it.at("at_most_field").get<std::string>())
                                                             : it.at("at_most").get<unsigned>();
@@ -188,11 +190,11 @@
 
     std::string m_file;
     std::size_t m_line = 0;
-    std::size_t m_held = 0;
+    std::size_t m_metOutcomes = 0;
     std::optional<Steering> m_steering;
     Effects m_effects;
     std::vector<json> m_always;
-    std::map<std::size_t, unsigned> m_open;
+    std::map<std::size_t, unsigned> m_openRequests;
 };
 
 } // namespace
@@ -201,7 +203,7 @@
 {
     TraceReplay replay(file);
     replay.run(lines);
-    return replay.held();
+    return replay.metOutcomes();
 }
 
 } // namespace pepperlug
--- a/lib/Steer/TraceWriter.cpp
+++ b/lib/Steer/TraceWriter.cpp
@@ -1,4 +1,4 @@
-//===- TraceWriter.cpp - Events become lines of a trace -------------------===//
+//===- TraceWriter.cpp - Events to trace lines ----------------------------===//
 #include "Trace.h"
 
 namespace pepperlug
@@ -15,7 +15,7 @@
     return id ? json(idx(*id)) : json();
 }
 
-// Writers: one overload for each event.
+// Has one overload per event.
 class EventWriter
 {
 public:
