--- a/unittests/Steer/FaultTest.cpp
+++ b/unittests/Steer/FaultTest.cpp
@@ -1,7 +1,7 @@
-//===- FaultTest.cpp - Faults of the brief, singly and together -----------===//
+//===- FaultTest.cpp - Single and combined faults -------------------------===//
 //
-// Each test brings a fault about in the model and checks after every event what must always hold, then what callers
-// saw.
+// Each test injects faults into the model, checks the invariants after every event, and then checks the results of
+// requests or the state of hosts.
 //
 //===----------------------------------------------------------------------===//
 #include "SteerFixture.h"
@@ -12,10 +12,10 @@
 namespace
 {
 
-class Scene
+class FaultScenario
 {
 public:
-    explicit Scene(double load, DriverSettings settings = {}, const std::string &owner = "kemal")
+    explicit FaultScenario(double load, DriverSettings settings = {}, const std::string &owner = "kemal")
         : bundle(exampleBundle(owner))
         , driver(bundle, settings)
         , m_invariants(*bundle)
@@ -26,13 +26,13 @@
         driver.forgetCallers();
     }
 
-    ~Scene()
+    ~FaultScenario()
     {
         m_invariants.require(driver);
     }
 
-    Scene(const Scene &) = delete;
-    Scene &operator=(const Scene &) = delete;
+    FaultScenario(const FaultScenario &) = delete;
+    FaultScenario &operator=(const FaultScenario &) = delete;
 
     double refusedShare() const
     {
@@ -65,198 +65,198 @@
 
 } // namespace
 
-TEST_CASE("without a fault nearly all is answered")
+TEST_CASE("without a fault nearly all requests are answered")
 {
-    Scene scene(0.5);
-    scene.driver.run(5s);
-    CHECK(scene.refusedShare() < 0.01);
-    CHECK(scene.failedShare() == 0);
+    FaultScenario scenario(0.5);
+    scenario.driver.run(5s);
+    CHECK(scenario.refusedShare() < 0.01);
+    CHECK(scenario.failedShare() == 0);
 }
 
-TEST_CASE("a region lost at peak: the others take over within caps and links")
+TEST_CASE("after the loss of a region at peak load the others take over within shift caps and link limits")
 {
-    Scene scene(0.6);
-    scene.driver.killRegion(makeId<RegionId>(0));
-    scene.driver.run(6s);
-    const CallerView &lost = scene.driver.callers()[0];
+    FaultScenario scenario(0.6);
+    scenario.driver.killRegion(makeId<RegionId>(0));
+    scenario.driver.run(6s);
+    const CallerView &lost = scenario.driver.callers()[0];
     CHECK(lost.answered > lost.requests / 2);
-    CHECK(scene.refusedShare() < 0.2);
+    CHECK(scenario.refusedShare() < 0.2);
 }
 
-TEST_CASE("two availability zones lost one after the other")
+TEST_CASE("two availability zones are lost one after the other")
 {
-    Scene scene(0.4);
-    scene.driver.kill(hostId(2));
-    scene.driver.run(2s);
-    scene.driver.kill(hostId(5));
-    scene.driver.run(5s);
-    CHECK(scene.refusedShare() < 0.1);
-    CHECK(scene.failedShare() < 0.02);
+    FaultScenario scenario(0.4);
+    scenario.driver.kill(hostId(2));
+    scenario.driver.run(2s);
+    scenario.driver.kill(hostId(5));
+    scenario.driver.run(5s);
+    CHECK(scenario.refusedShare() < 0.1);
+    CHECK(scenario.failedShare() < 0.02);
 }
 
-TEST_CASE("a zone that is cut off goes on serving its own callers, and comes back")
+TEST_CASE("a zone that is cut off still serves its own callers, and recovers")
 {
-    Scene scene(0.5);
+    FaultScenario scenario(0.5);
     for (std::size_t n = 1; n < 6; ++n) {
-        scene.driver.setCut(zone(0), zone(n), true);
+        scenario.driver.setCut(zone(0), zone(n), true);
     }
-    scene.driver.setControlCut(zone(0), true);
-    scene.driver.run(12s);
-    CHECK(scene.driver.host(hostId(0))->sliceValid(scene.driver.now()));
-    CHECK(scene.refusedShare() < 0.05);
+    scenario.driver.setControlCut(zone(0), true);
+    scenario.driver.run(12s);
+    CHECK(scenario.driver.host(hostId(0))->sliceValid(scenario.driver.now()));
+    CHECK(scenario.refusedShare() < 0.05);
     for (std::size_t n = 1; n < 6; ++n) {
-        scene.driver.setCut(zone(0), zone(n), false);
+        scenario.driver.setCut(zone(0), zone(n), false);
     }
-    scene.driver.setControlCut(zone(0), false);
-    scene.driver.forgetCallers();
-    scene.driver.run(3s);
-    CHECK(scene.refusedShare() < 0.02);
+    scenario.driver.setControlCut(zone(0), false);
+    scenario.driver.forgetCallers();
+    scenario.driver.run(3s);
+    CHECK(scenario.refusedShare() < 0.02);
 }
 
-TEST_CASE("a host cut off from control and from a dead neighbour stops using its slice, and says so")
+TEST_CASE("a host that reaches neither control hosts nor the other host of its zone stops using its slice")
 {
-    Scene scene(0.4);
-    scene.driver.setControlCut(zone(0), true);
-    scene.driver.kill(hostId(1));
-    scene.driver.run(10s);
-    CHECK_FALSE(scene.driver.host(hostId(0))->sliceValid(scene.driver.now()));
-    CHECK(scene.driver.host(hostId(0))->view(ServiceId{}).capacity == 0);
+    FaultScenario scenario(0.4);
+    scenario.driver.setControlCut(zone(0), true);
+    scenario.driver.kill(hostId(1));
+    scenario.driver.run(10s);
+    CHECK_FALSE(scenario.driver.host(hostId(0))->sliceValid(scenario.driver.now()));
+    CHECK(scenario.driver.host(hostId(0))->view(ServiceId{}).capacity == 0);
 }
 
-TEST_CASE("a host killed while it holds leases, and one killed after it issued them")
+TEST_CASE("a host is killed while it holds leases, and one after it issued leases")
 {
     DriverSettings settings;
     settings.seed = 4;
-    Scene scene(0.5, settings);
-    // The first region wants more than it has, so it holds leases of the others.
-    scene.driver.setRate(zone(0), ServiceId{}, 1.6 * 8 * 50);
-    scene.driver.run(3s);
-    scene.driver.kill(hostId(0));
-    scene.driver.run(1s);
-    scene.driver.kill(hostId(3));
-    scene.driver.run(1s);
-    scene.driver.restart(hostId(3));
-    scene.driver.restart(hostId(0));
-    scene.driver.run(5s);
-    CHECK(scene.failedShare() < 0.05);
+    FaultScenario scenario(0.5, settings);
+    // Demand in the first region exceeds its capacity, so its hosts hold leases of other regions.
+    scenario.driver.setRate(zone(0), ServiceId{}, 1.6 * 8 * 50);
+    scenario.driver.run(3s);
+    scenario.driver.kill(hostId(0));
+    scenario.driver.run(1s);
+    scenario.driver.kill(hostId(3));
+    scenario.driver.run(1s);
+    scenario.driver.restart(hostId(3));
+    scenario.driver.restart(hostId(0));
+    scenario.driver.run(5s);
+    CHECK(scenario.failedShare() < 0.05);
 }
 
-TEST_CASE("clocks that run five percent fast or slow")
+TEST_CASE("clocks run five percent fast or slow")
 {
     for (const double rate : {0.95, 1.05}) {
-        Scene scene(0.6);
-        scene.driver.setClockRate(hostId(0), rate);
-        scene.driver.setClockRate(hostId(5), 2 - rate);
-        scene.driver.run(6s);
-        CHECK(scene.refusedShare() < 0.1);
+        FaultScenario scenario(0.6);
+        scenario.driver.setClockRate(hostId(0), rate);
+        scenario.driver.setClockRate(hostId(5), 2 - rate);
+        scenario.driver.run(6s);
+        CHECK(scenario.refusedShare() < 0.1);
     }
 }
 
-TEST_CASE("lease messages lost, repeated, delayed and out of order")
+TEST_CASE("lease messages are lost, repeated, delayed and reordered")
 {
     DriverSettings settings;
     settings.lossShare = 0.3;
     settings.repeatShare = 0.3;
     settings.jitter = 700ms;
-    Scene scene(0.6, settings);
-    scene.driver.setRate(zone(0), ServiceId{}, 1.4 * 8 * 50);
-    scene.driver.run(8s);
-    CHECK(scene.refusedShare() < 0.3);
+    FaultScenario scenario(0.6, settings);
+    scenario.driver.setRate(zone(0), ServiceId{}, 1.4 * 8 * 50);
+    scenario.driver.run(8s);
+    CHECK(scenario.refusedShare() < 0.3);
 }
 
-TEST_CASE("targets that fail, are stuck, shed, refuse or start cold")
+TEST_CASE("targets fail, hang, shed, refuse connections or are slow")
 {
     for (const TargetFault fault :
          {TargetFault::Failing, TargetFault::Stuck, TargetFault::Shedding, TargetFault::Refusing, TargetFault::Slow}) {
-        Scene scene(0.4);
-        const TargetId target = scene.bundle->services[0].targets[0];
-        scene.driver.setFault(target, fault);
-        scene.driver.run(8s);
+        FaultScenario scenario(0.4);
+        const TargetId target = scenario.bundle->services[0].targets[0];
+        scenario.driver.setFault(target, fault);
+        scenario.driver.run(8s);
         INFO("fault " << static_cast<int>(fault));
-        CHECK(scene.refusedShare() < 0.05);
-        CHECK(scene.failedShare() < 0.01);
+        CHECK(scenario.refusedShare() < 0.05);
+        CHECK(scenario.failedShare() < 0.01);
     }
 }
 
-TEST_CASE("a failing target is left out, and comes back")
+TEST_CASE("a failing target is ejected, and is used again after it recovers")
 {
-    Scene scene(0.4);
-    const TargetId target = scene.bundle->services[0].targets[0];
-    scene.driver.setFault(target, TargetFault::Failing);
-    scene.driver.run(2s);
-    CHECK(scene.driver.host(hostId(0))->view(target).ejected);
-    scene.driver.setFault(target, TargetFault::None);
-    scene.driver.run(60s);
-    CHECK_FALSE(scene.driver.host(hostId(0))->view(target).ejected);
+    FaultScenario scenario(0.4);
+    const TargetId target = scenario.bundle->services[0].targets[0];
+    scenario.driver.setFault(target, TargetFault::Failing);
+    scenario.driver.run(2s);
+    CHECK(scenario.driver.host(hostId(0))->view(target).ejected);
+    scenario.driver.setFault(target, TargetFault::None);
+    scenario.driver.run(60s);
+    CHECK_FALSE(scenario.driver.host(hostId(0))->view(target).ejected);
 }
 
-TEST_CASE("reports that lie: healthy when failing, full when idle")
+TEST_CASE("wrong reports: healthy from a failing target, full from an idle one")
 {
-    Scene scene(0.4);
-    const TargetId failing = scene.bundle->services[0].targets[0];
-    const TargetId slandered = scene.bundle->services[0].targets[1];
-    scene.driver.setFault(failing, TargetFault::Failing);
+    FaultScenario scenario(0.4);
+    const TargetId failing = scenario.bundle->services[0].targets[0];
+    const TargetId misreported = scenario.bundle->services[0].targets[1];
+    scenario.driver.setFault(failing, TargetFault::Failing);
     for (int n = 0; n < 30; ++n) {
-        scene.driver.inject(hostId(0), TargetReported{failing, true, 0, false});
-        scene.driver.inject(hostId(0), TargetReported{slandered, false, 1, false});
-        scene.driver.run(100ms);
+        scenario.driver.inject(hostId(0), TargetReported{failing, true, 0, false});
+        scenario.driver.inject(hostId(0), TargetReported{misreported, false, 1, false});
+        scenario.driver.run(100ms);
     }
-    CHECK(scene.driver.host(hostId(0))->view(failing).ejected);
-    CHECK_FALSE(scene.driver.host(hostId(0))->view(slandered).ejected);
-    CHECK(scene.refusedShare() < 0.05);
+    CHECK(scenario.driver.host(hostId(0))->view(failing).ejected);
+    CHECK_FALSE(scenario.driver.host(hostId(0))->view(misreported).ejected);
+    CHECK(scenario.refusedShare() < 0.05);
 }
 
-TEST_CASE("reports stop: what requests showed is enough")
+TEST_CASE("reports stop: the results of requests are sufficient")
 {
-    Scene scene(0.4);
-    scene.driver.inject(hostId(0), TargetReported{scene.bundle->services[0].targets[1], false, 1, false});
-    scene.driver.run(8s);
-    CHECK(scene.refusedShare() < 0.02);
+    FaultScenario scenario(0.4);
+    scenario.driver.inject(hostId(0), TargetReported{scenario.bundle->services[0].targets[1], false, 1, false});
+    scenario.driver.run(8s);
+    CHECK(scenario.refusedShare() < 0.02);
 }
 
-TEST_CASE("all look-up answers end at once")
+TEST_CASE("all look-up answers expire at once")
 {
-    Scene scene(0.6);
+    FaultScenario scenario(0.6);
     for (int n = 0; n < 5; ++n) {
-        scene.driver.endAllCaches();
-        scene.driver.run(500ms);
+        scenario.driver.endAllCaches();
+        scenario.driver.run(500ms);
     }
-    CHECK(scene.refusedShare() < 0.05);
+    CHECK(scenario.refusedShare() < 0.05);
 }
 
-TEST_CASE("a drained target gets no work after two seconds and becomes idle, also while a region is lost")
+TEST_CASE("a drained target gets no requests after two seconds and becomes idle, also while a region is lost")
 {
-    Scene scene(0.5);
-    const TargetId target = scene.bundle->services[0].targets[4 * 2];
-    scene.driver.drain(scene.bundle->targets[idx(target)].name);
-    scene.driver.killRegion(makeId<RegionId>(0));
-    scene.driver.run(3s);
-    CHECK(scene.driver.runningAt(target) == 0);
-    CHECK(scene.driver.lateDispatches() == 0);
-    scene.driver.run(2s);
-    CHECK(scene.driver.runningAt(target) == 0);
+    FaultScenario scenario(0.5);
+    const TargetId target = scenario.bundle->services[0].targets[4 * 2];
+    scenario.driver.drain(scenario.bundle->targets[idx(target)].name);
+    scenario.driver.killRegion(makeId<RegionId>(0));
+    scenario.driver.run(3s);
+    CHECK(scenario.driver.runningAt(target) == 0);
+    CHECK(scenario.driver.lateDispatches() == 0);
+    scenario.driver.run(2s);
+    CHECK(scenario.driver.runningAt(target) == 0);
 }
 
-TEST_CASE("faults together and twice: cut, loss, drain, caches, restarts")
+TEST_CASE("combined faults, twice: partitions, message loss, drains, expired look-up answers and restarts")
 {
     DriverSettings settings;
     settings.lossShare = 0.1;
     settings.jitter = 200ms;
     settings.seed = 9;
-    Scene scene(0.6, settings, "liftcoop");
+    FaultScenario scenario(0.6, settings, "liftcoop");
     for (int round = 0; round < 2; ++round) {
-        scene.driver.setCut(zone(1), zone(3), true);
-        scene.driver.setControlCut(zone(4), true);
-        scene.driver.kill(hostId(2));
-        scene.driver.endAllCaches();
-        scene.driver.run(2s);
-        scene.driver.drain(scene.bundle->targets[static_cast<std::size_t>(round) + 8].name);
-        scene.driver.restart(hostId(2));
-        scene.driver.restart(hostId(4));
-        scene.driver.run(2s);
-        scene.driver.setCut(zone(1), zone(3), false);
-        scene.driver.setControlCut(zone(4), false);
-        scene.driver.run(1s);
+        scenario.driver.setCut(zone(1), zone(3), true);
+        scenario.driver.setControlCut(zone(4), true);
+        scenario.driver.kill(hostId(2));
+        scenario.driver.endAllCaches();
+        scenario.driver.run(2s);
+        scenario.driver.drain(scenario.bundle->targets[static_cast<std::size_t>(round) + 8].name);
+        scenario.driver.restart(hostId(2));
+        scenario.driver.restart(hostId(4));
+        scenario.driver.run(2s);
+        scenario.driver.setCut(zone(1), zone(3), false);
+        scenario.driver.setControlCut(zone(4), false);
+        scenario.driver.run(1s);
     }
-    CHECK(scene.failedShare() < 0.05);
+    CHECK(scenario.failedShare() < 0.05);
 }
--- a/unittests/Steer/PropertyTest.cpp
+++ b/unittests/Steer/PropertyTest.cpp
@@ -1,6 +1,7 @@
 //===- PropertyTest.cpp - Random orders of events -------------------------===//
 //
-// One host gets random events in random order, valid and stale ones, and after each of them the books must balance.
+// One host gets random events in random order, valid and stale ones, and its counts are checked after each of them.
+// Then a model of several hosts runs with random faults and load.
 //
 //===----------------------------------------------------------------------===//
 #include "SteerFixture.h"
@@ -21,7 +22,7 @@
     bool toTarget = false;
 };
 
-/// A lone host with the random world around it.
+/// A single host with randomly generated callers, peers and targets.
 class RandomHost
 {
 public:
@@ -46,7 +47,7 @@
         case 0:
         case 1:
         case 2:
-            arrive();
+            addRequest();
             break;
         case 3:
         case 4:
@@ -57,13 +58,13 @@
             reduce(Tick{});
             break;
         case 7:
-            askLease();
+            sendLeaseRequest();
             break;
         case 8:
-            leave();
+            disconnectCaller();
             break;
         case 9:
-            reduce(LookupArrived{makeId<RequestId>(++m_lastId), ServiceId{}, zoneOrNone()});
+            reduce(LookupArrived{makeId<RequestId>(++m_lastId), ServiceId{}, randomZone()});
             break;
         case 10:
             changeConfig();
@@ -77,7 +78,7 @@
 
     void finish()
     {
-        // With time and ends for all attempts, every request must have got its one answer.
+        // Once time has passed and all attempts have ended, every request must have been answered exactly once.
         for (int n = 0; n < 3000 && !m_open.empty(); ++n) {
             while (!m_attempts.empty()) {
                 endAttempt();
@@ -92,18 +93,18 @@
     }
 
 private:
-    std::optional<ZoneId> zoneOrNone()
+    std::optional<ZoneId> randomZone()
     {
         const int n = *rc::gen::inRange(0, 7);
         return n == 6 ? std::nullopt : std::optional(makeId<ZoneId>(static_cast<std::size_t>(n)));
     }
 
-    void arrive()
+    void addRequest()
     {
         RequestArrived event;
         event.id = makeId<RequestId>(++m_lastId);
         event.cls = static_cast<RouteClass>(*rc::gen::inRange(0, 3));
-        event.callerZone = zoneOrNone();
+        event.callerZone = randomZone();
         event.deadline = m_now + Milliseconds(*rc::gen::inRange(1, 3000));
         if (*rc::gen::inRange(0, 4) == 0) {
             event.forwardedBy = makeId<HostId>(static_cast<std::size_t>(*rc::gen::inRange(1, 9)));
@@ -146,14 +147,14 @@
         const AttemptEnded event{attempt.id, attempt.attempt, result, *rc::gen::inRange(0, 50) == 0,
                                  std::make_shared<Answer>(Answer{200, {}, ""})};
         reduce(event);
-        reduce(event); // the same end twice changes nothing
+        reduce(event); // a repeated end is ignored
     }
 
-    void askLease()
+    void sendLeaseRequest()
     {
         const auto holder = makeId<HostId>(static_cast<std::size_t>(*rc::gen::inRange(1, 9)));
         LeaseRequest request;
-        request.sequence = static_cast<std::uint64_t>(*rc::gen::inRange(1, 30)); // old ones among them
+        request.sequence = static_cast<std::uint64_t>(*rc::gen::inRange(1, 30)); // includes old sequences
         request.incarnation = static_cast<std::uint64_t>(*rc::gen::inRange(1, 3));
         request.configIndex = m_index;
         for (std::uint32_t service = 0; service < 2; ++service) {
@@ -163,18 +164,18 @@
         reduce(LeaseRequestArrived{holder, request});
     }
 
-    void leave()
+    void disconnectCaller()
     {
         if (m_open.empty()) {
             return;
         }
         const RequestId id = *m_open.begin();
-        const bool mayGoOn = !m_keys[id].empty();
+        const bool mayContinue = !m_keys[id].empty();
         reduce(CallerDisconnected{id});
-        if (!mayGoOn) {
-            m_open.erase(id); // nobody waits for its end any more
+        if (!mayContinue) {
+            m_open.erase(id); // no answer is expected
         } else {
-            m_departed.insert(id);
+            m_disconnected.insert(id);
             m_open.erase(id);
         }
     }
@@ -220,18 +221,18 @@
         Effects effects;
         m_steering->reduce(event, m_now, effects);
         for (const Effect &effect : effects) {
-            note(effect);
+            handleEffect(effect);
         }
     }
 
     void end(RequestId id)
     {
         const bool wasOpen = m_open.erase(id) == 1;
-        const bool wasDeparted = m_departed.erase(id) == 1;
-        RC_ASSERT(wasOpen || wasDeparted);
+        const bool wasDisconnected = m_disconnected.erase(id) == 1;
+        RC_ASSERT(wasOpen || wasDisconnected);
     }
 
-    void note(const Effect &effect)
+    void handleEffect(const Effect &effect)
     {
         if (const auto *it = std::get_if<Dispatch>(&effect)) {
             m_attempts.push_back({it->id, it->attempt, true});
@@ -251,7 +252,7 @@
             RC_ASSERT(m_ranKeys.count(m_keys[it->id]) == 1U);
             end(it->id);
         } else if (const auto *it = std::get_if<Refuse>(&effect)) {
-            noteRefusal(*it);
+            handleRefusal(*it);
         } else if (const auto *it = std::get_if<SyncClaim>(&effect)) {
             if (it->awaited) {
                 m_syncs.push_back({it->id, it->record.state});
@@ -260,15 +261,15 @@
         }
     }
 
-    void noteRefusal(const Refuse &refusal)
+    void handleRefusal(const Refuse &refusal)
     {
         if (static_cast<std::uint64_t>(refusal.id) > 0
-            && (m_open.count(refusal.id) == 1U || m_departed.count(refusal.id) == 1U)) {
+            && (m_open.count(refusal.id) == 1U || m_disconnected.count(refusal.id) == 1U)) {
             if (refusal.outcome == Outcome::NotRun) {
                 RC_ASSERT(m_maybeRan.count(refusal.id) == 0U);
                 const std::string &key = m_keys[refusal.id];
-                const bool speaksOfKey = !key.empty() && refusal.reason != Reason::KeyMismatch;
-                if (speaksOfKey) {
+                const bool concernsKey = !key.empty() && refusal.reason != Reason::KeyMismatch;
+                if (concernsKey) {
                     RC_ASSERT(m_ranKeys.count(key) == 0U);
                     m_notRunKeys.insert(key);
                 }
@@ -292,9 +293,9 @@
     std::uint64_t m_index = 0;
     std::uint64_t m_lastId = 0;
     std::uint64_t m_peerSequence = 0;
-    unsigned m_slotsBefore = 4; ///< a slice that shrank lets what runs end
+    unsigned m_slotsBefore = 4; ///< requests that may still run on slots that the slice has lost
     std::set<RequestId> m_open;
-    std::set<RequestId> m_departed;
+    std::set<RequestId> m_disconnected;
     std::set<RequestId> m_maybeRan;
     std::map<RequestId, std::string> m_keys;
     std::set<std::string> m_ranKeys;
@@ -306,7 +307,7 @@
 
 } // namespace
 
-TEST_CASE("random orders of events: every request ends once, keys run once, not-run is true")
+TEST_CASE("random orders of events: every request ends once, every key runs at most once, not-run outcomes are correct")
 {
     for (const bool syncClaims : {false, true}) {
         const bool holds = rc::check([syncClaims] {
@@ -321,7 +322,7 @@
     }
 }
 
-TEST_CASE("random worlds: sums, caps, links and slots hold after every event")
+TEST_CASE("random faults and load: sums, shift caps, link limits and slots hold after every event")
 {
     const bool holds = rc::check([] {
         const BundlePtr bundle = exampleBundle("kemal");
@@ -337,8 +338,8 @@
         setLoad(driver, *bundle, *rc::gen::element(0.3, 0.8, 1.2));
         for (int n = 0; n < 6; ++n) {
             const auto host = makeId<HostId>(static_cast<std::size_t>(*rc::gen::inRange(0, 9)));
-            const auto one = makeId<ZoneId>(static_cast<std::size_t>(*rc::gen::inRange(0, 6)));
-            const auto other = makeId<ZoneId>(static_cast<std::size_t>(*rc::gen::inRange(0, 6)));
+            const auto firstZone = makeId<ZoneId>(static_cast<std::size_t>(*rc::gen::inRange(0, 6)));
+            const auto secondZone = makeId<ZoneId>(static_cast<std::size_t>(*rc::gen::inRange(0, 6)));
             switch (*rc::gen::inRange(0, 6)) {
             case 0:
                 driver.kill(host);
@@ -347,13 +348,13 @@
                 driver.restart(host);
                 break;
             case 2:
-                driver.setCut(one, other, true);
+                driver.setCut(firstZone, secondZone, true);
                 break;
             case 3:
-                driver.setCut(one, other, false);
+                driver.setCut(firstZone, secondZone, false);
                 break;
             case 4:
-                driver.setControlCut(one, *rc::gen::inRange(0, 2) == 0);
+                driver.setControlCut(firstZone, *rc::gen::inRange(0, 2) == 0);
                 break;
             default:
                 driver.endAllCaches();
--- a/unittests/Steer/ReplayTest.cpp
+++ b/unittests/Steer/ReplayTest.cpp
@@ -1,4 +1,4 @@
-//===- ReplayTest.cpp - Replay of traces against stated outcomes ----------===//
+//===- ReplayTest.cpp - Replay of traces against expected outcomes --------===//
 #include "SteerFixture.h"
 
 using namespace pepperlug;
@@ -29,12 +29,12 @@
 
 } // namespace
 
-TEST_CASE("a trace is replayed and its outcomes hold")
+TEST_CASE("a trace is replayed and its expected outcomes are met")
 {
     CHECK(replayTrace(traceOfOneRequest(), "t") == 3);
 }
 
-TEST_CASE("the first outcome that does not hold is named with its line")
+TEST_CASE("the first outcome that is not met is reported with its line")
 {
     std::vector<std::string> lines = traceOfOneRequest();
     lines.insert(lines.begin() + 2, R"({"always":{"service":"catalogue","field":"committed","at_most":0}})");
@@ -48,7 +48,7 @@
     CHECK_THROWS_WITH(replayTrace(lines, "t"), Catch::Contains("t:4"));
 }
 
-TEST_CASE("lines that are none are refused")
+TEST_CASE("malformed lines are rejected")
 {
     for (const char *bad : {"{", R"({"event":"nothing","at":1})", R"({"other":1})", R"({"expect":"what"})"}) {
         std::vector<std::string> lines = traceOfOneRequest();
--- a/unittests/Steer/SteerFixture.h
+++ b/unittests/Steer/SteerFixture.h
@@ -1,4 +1,4 @@
-//===- SteerFixture.h - Bundles and a lone host for the tests ----*- C++ -*-===//
+//===- SteerFixture.h - Bundles, load and invariants for the tests -*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Model.h"
@@ -16,7 +16,7 @@
     return parseBundle(readFile(file), file);
 }
 
-/// Requests a second that need this share of a zone's slots, for every zone and service.
+/// Sets the request rate of every zone and service so that it needs the share `load` of the zone's slots.
 inline void setLoad(Driver &driver, const Bundle &bundle, double load)
 {
     for (std::size_t zone = 0; zone < bundle.zones.size(); ++zone) {
@@ -42,7 +42,7 @@
     return all;
 }
 
-/// What must hold after every event, on every host.
+/// Invariants that must hold on every host after every event.
 class Invariants
 {
 public:
@@ -90,7 +90,7 @@
         unsigned level;
     };
 
-    // The growth over every interval: the present level against the lowest within the interval before.
+    // Checks the growth over every interval: the current level against the lowest one within the last interval.
     void checkShift(const Driver &driver, const ShiftCap &cap)
     {
         std::deque<Sample> &samples = m_samples[{cap.from, cap.to}];
@@ -106,7 +106,7 @@
     }
 
     const Bundle &m_bundle;
-    std::map<std::pair<RegionId, RegionId>, std::deque<Sample>> m_samples; ///< rising levels within the interval
+    std::map<std::pair<RegionId, RegionId>, std::deque<Sample>> m_samples; ///< increasing levels within the interval
     std::uint64_t m_sumExceeded = 0;
     std::uint64_t m_slotsExceeded = 0;
     std::uint64_t m_capExceeded = 0;
