--- a/lib/Daemon/EntryEffects.cpp
+++ b/lib/Daemon/EntryEffects.cpp
@@ -39,7 +39,7 @@
         return 504;
     case Reason::TargetFailed:
     case Reason::TargetUnreachable:
-    case Reason::HomeUnreachable:
+    case Reason::OwnerUnreachable:
     case Reason::LoopRefused:
         return 502;
     default:
@@ -56,7 +56,7 @@
     case Reason::KeyForeign:
     case Reason::ClaimClosed:
     case Reason::ClaimUnknown:
-    case Reason::HomeUnreachable:
+    case Reason::OwnerUnreachable:
     case Reason::LoopRefused:
         return "claim";
     case Reason::TargetFailed:
@@ -119,7 +119,7 @@
     }
     body += R"(],"ttl_ms":)" + std::to_string(effect.ttl.count());
     body += R"(,"version":)" + std::to_string(effect.bundleVersion);
-    body += R"(,"home":")" + (effect.home ? effect.home->text() : std::string()) + "\"}\n";
+    body += R"(,"home":")" + (effect.ownerToken ? effect.ownerToken->text() : std::string()) + "\"}\n";
     it->second.exchange->respond({Ok, {{"Content-Type", "application/json"}}, std::move(body)});
     m_pending.erase(it);
 }
@@ -212,8 +212,8 @@
     message.body = *pending.body;
     message.budget = std::chrono::ceil<Milliseconds>(left);
     message.key = pending.key;
-    message.toHome = effect.toHome;
-    message.claimed = pending.cls == RouteClass::Once && !effect.toHome;
+    message.toHome = effect.toOwner;
+    message.claimed = pending.cls == RouteClass::Once && !effect.toOwner;
     const EntryHost &host = m_bundle->hosts[idx(effect.host)];
     m_metrics.count("pepperlug_forwards");
     pending.attempts[effect.attempt].peerCall =
@@ -290,7 +290,7 @@
     m_pending.erase(id);
 }
 
-void EntryDaemon::Impl::carryOut(const Finish &effect)
+void EntryDaemon::Impl::carryOut(const RelayAnswer &effect)
 {
     const auto it = m_pending.find(effect.id);
     if (it == m_pending.end()) {
@@ -301,7 +301,7 @@
     sendAnswer(effect.id, it->second, answer);
 }
 
-void EntryDaemon::Impl::carryOut(const FinishStored &effect)
+void EntryDaemon::Impl::carryOut(const SendStoredAnswer &effect)
 {
     const auto it = m_pending.find(effect.id);
     if (it == m_pending.end()) {
@@ -333,7 +333,7 @@
     m_pending.erase(it);
 }
 
-void EntryDaemon::Impl::carryOut(const AskLease &effect)
+void EntryDaemon::Impl::carryOut(const SendLeaseRequest &effect)
 {
     const EntryHost &host = m_bundle->hosts[idx(effect.issuer)];
     const std::uint64_t sequence = effect.request.sequence;
--- a/lib/Daemon/EntryImpl.h
+++ b/lib/Daemon/EntryImpl.h
@@ -86,10 +86,10 @@
     void carryOut(const Dispatch &effect);
     void carryOut(const Forward &effect);
     void carryOut(const CancelAttempt &effect);
-    void carryOut(const Finish &effect);
-    void carryOut(const FinishStored &effect);
+    void carryOut(const RelayAnswer &effect);
+    void carryOut(const SendStoredAnswer &effect);
     void carryOut(const Refuse &effect);
-    void carryOut(const AskLease &effect);
+    void carryOut(const SendLeaseRequest &effect);
     void carryOut(const GrantLease &effect);
     void carryOut(const SyncClaim &effect);
     void carryOut(const Decision &effect);
--- a/lib/Daemon/EntryPeer.cpp
+++ b/lib/Daemon/EntryPeer.cpp
@@ -33,7 +33,7 @@
         return;
     }
     m_leaseCall = call;
-    reduceLocked(LeaseAsked{*holder, message.request});
+    reduceLocked(LeaseRequestArrived{*holder, message.request});
     m_leaseCall = nullptr;
 }
 
@@ -78,7 +78,7 @@
     event.callerZone = bundle->findZone(message.callerZone);
     event.deadline = pending.arrivedAt + message.budget;
     event.forwardedBy = sender;
-    event.toHome = message.toHome;
+    event.toOwner = message.toHome;
     event.claimed = message.claimed;
     if (pending.cls == RouteClass::Once) {
         event.key = pending.key;
@@ -89,7 +89,7 @@
     if (!submit(bundle, std::move(pending), event)) {
         return false;
     }
-    call->onCancel([this, id] { post(CallerLeft{id}); });
+    call->onCancel([this, id] { post(CallerDisconnected{id}); });
     return true;
 }
 
--- a/lib/Model/Driver.cpp
+++ b/lib/Model/Driver.cpp
@@ -74,7 +74,7 @@
     host.steering.emplace(settings, localTime(id));
     if (reachesControl(id)) {
         post(id, m_config);
-        post(id, ControlHeard{m_config.index});
+        post(id, ControlReplied{m_config.index});
     }
     tickHost(id, host.incarnation);
 }
@@ -93,7 +93,7 @@
         if (host.steering->configIndex() < m_config.index) {
             post(id, m_config);
         }
-        post(id, ControlHeard{m_config.index});
+        post(id, ControlReplied{m_config.index});
     }
     after(m_settings.tick, [this, id, incarnation] { tickHost(id, incarnation); });
 }
@@ -144,14 +144,14 @@
         forward(host, *it);
     } else if (const auto *it = std::get_if<CancelAttempt>(&effect)) {
         cancel(host, *it);
-    } else if (const auto *it = std::get_if<Finish>(&effect)) {
+    } else if (const auto *it = std::get_if<RelayAnswer>(&effect)) {
         endRequest(host, it->id, AttemptResult::Answered, nullptr);
-    } else if (const auto *it = std::get_if<FinishStored>(&effect)) {
+    } else if (const auto *it = std::get_if<SendStoredAnswer>(&effect)) {
         endRequest(host, it->id, AttemptResult::Answered, nullptr);
     } else if (const auto *it = std::get_if<Refuse>(&effect)) {
         endRequest(host, it->id,
                    it->outcome == Outcome::NotRun ? AttemptResult::RemoteNotRun : AttemptResult::RemoteUnknown, it);
-    } else if (const auto *it = std::get_if<AskLease>(&effect)) {
+    } else if (const auto *it = std::get_if<SendLeaseRequest>(&effect)) {
         askLease(host, *it);
     } else if (const auto *it = std::get_if<GrantLease>(&effect)) {
         grantLease(host, *it);
@@ -235,7 +235,7 @@
     const auto sent = it->second.forwarded.find(effect.attempt);
     if (sent != it->second.forwarded.end()) {
         const auto remote = sent->second;
-        after(latency(host, remote.first), [this, remote] { post(remote.first, CallerLeft{remote.second}); });
+        after(latency(host, remote.first), [this, remote] { post(remote.first, CallerDisconnected{remote.second}); });
         return;
     }
     const auto attempt = it->second.running.find(effect.attempt);
@@ -281,7 +281,8 @@
         --m_targets[idx(target)].running;
     }
     for (const auto &[attempt, remote] : request.forwarded) {
-        after(latency(host, remote.first), [this, remote = remote] { post(remote.first, CallerLeft{remote.second}); });
+        after(latency(host, remote.first),
+              [this, remote = remote] { post(remote.first, CallerDisconnected{remote.second}); });
     }
     const Origin origin = request.origin;
     if (origin.operation) {
--- a/lib/Model/Messages.cpp
+++ b/lib/Model/Messages.cpp
@@ -19,11 +19,11 @@
     }
 }
 
-void Driver::askLease(HostId holder, const AskLease &effect)
+void Driver::askLease(HostId holder, const SendLeaseRequest &effect)
 {
     const std::uint64_t incarnation = m_hosts[idx(holder)].incarnation;
     sendLease(holder, effect.issuer, [this, holder, issuer = effect.issuer, request = effect.request] {
-        post(issuer, LeaseAsked{holder, request});
+        post(issuer, LeaseRequestArrived{holder, request});
     });
     after(effect.timeout, [this, holder, incarnation, issuer = effect.issuer, sequence = effect.request.sequence] {
         if (m_hosts[idx(holder)].incarnation == incarnation) {
@@ -58,8 +58,8 @@
     }
     RequestArrived arrived = request.arrived;
     arrived.forwardedBy = host;
-    arrived.toHome = effect.toHome;
-    arrived.claimed = arrived.cls == RouteClass::Once && !effect.toHome;
+    arrived.toOwner = effect.toOwner;
+    arrived.claimed = arrived.cls == RouteClass::Once && !effect.toOwner;
     const Origin origin{std::nullopt, host, incarnation, effect.id, effect.attempt};
     after(oneWay, [this, to = effect.host, arrived, origin]() mutable {
         arrived.id = makeId<RequestId>(++m_lastId);
--- a/lib/Steer/Attempts.cpp
+++ b/lib/Steer/Attempts.cpp
@@ -1,8 +1,8 @@
 //===- Attempts.cpp - Ends of attempts, retries and hedges ----------------===//
 //
-// What may be tried again depends on what is certain. An attempt of which no byte was sent, or that the other side says
-// it did not run, may be repeated for every class. One that was lost on the way may be repeated for reads only, to
-// another target, and only from a budget that grows with the reads themselves.
+// An attempt of which no byte was sent, or that the peer reports as not run, may be retried for every route class. One
+// that was lost after it was sent may be retried for reads only, at another target, and only within a retry budget that
+// grows with the number of reads.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -16,7 +16,7 @@
 {
 
 constexpr std::size_t MaxAttempts = 4;
-constexpr int SlowFactor = 4; ///< a cancelled attempt counts against its target if it took this many times the mean
+constexpr int SlowFactor = 4; ///< a cancelled attempt above this multiple of the mean latency counts as a failure
 
 TargetEvidence evidenceOf(AttemptResult result)
 {
@@ -37,21 +37,21 @@
     return TargetEvidence::Neutral;
 }
 
-bool isCertainlyNotRun(AttemptResult result)
+bool wasCertainlyNotRun(AttemptResult result)
 {
     return result == AttemptResult::NotSent || result == AttemptResult::Shed || result == AttemptResult::RemoteNotRun;
 }
 
-bool isWholeAnswer(AttemptResult result)
+bool isCompleteAnswer(AttemptResult result)
 {
     return result == AttemptResult::Answered || result == AttemptResult::ServerError;
 }
 
-Reason reasonOf(AttemptResult result, bool atHome, Charge::Kind charge)
+Reason reasonOf(AttemptResult result, bool atOwner, Charge::Kind charge)
 {
     switch (result) {
     case AttemptResult::NotSent:
-        return atHome ? Reason::HomeUnreachable : Reason::TargetUnreachable;
+        return atOwner ? Reason::OwnerUnreachable : Reason::TargetUnreachable;
     case AttemptResult::Shed:
         return Reason::Shed;
     case AttemptResult::RemoteNotRun:
@@ -71,8 +71,8 @@
     return attempt.host ? m_bundle->hosts[idx(*attempt.host)].name : std::string();
 }
 
-// An end that comes twice, or after its request has got its answer, finds nothing here and is dropped.
-void Steering::Impl::on(const AttemptEnded &event)
+// An end that arrives twice, or after its request was answered, is ignored.
+void Steering::Impl::handle(const AttemptEnded &event)
 {
     const auto it = m_requests.find(event.id);
     if (it == m_requests.end() || event.attempt >= it->second.attempts.size()) {
@@ -88,21 +88,21 @@
     }
     endAttempt(request, attempt, event.result);
     const ServiceId service = request.info.service;
-    if (isWholeAnswer(event.result)) {
+    if (isCompleteAnswer(event.result)) {
         cancelAttempts(request);
         finishClaim(request, event);
         if (request.phase != Phase::Detached) {
-            m_out->emplace_back(Finish{event.id, event.attempt});
+            m_out->emplace_back(RelayAnswer{event.id, event.attempt});
         }
         const std::string key = request.holdsClaim ? request.info.key : std::string();
-        release(request);
+        releaseCharge(request);
         erase(event.id);
         if (!key.empty()) {
             answerWaiters(key);
         }
     } else {
         const Attempt ended = attempt;
-        afterFailure(request, ended, event.result);
+        handleFailedAttempt(request, ended, event.result);
     }
     runQueue(service);
 }
@@ -110,59 +110,59 @@
 void Steering::Impl::endAttempt(Request &request, Attempt &attempt, AttemptResult result)
 {
     attempt.isRunning = false;
-    request.sent |= !isCertainlyNotRun(result);
+    request.maybeSent |= !wasCertainlyNotRun(result);
     if (attempt.target) {
-        m_pool.ended(*attempt.target, evidenceOf(result), m_now - attempt.startedAt, m_now, *m_out);
+        m_pool.endRequest(*attempt.target, evidenceOf(result), m_now - attempt.startedAt, m_now, *m_out);
     }
-    settle(request, attempt);
+    releaseAttempt(request, attempt);
 }
 
-// Gives back what an attempt used besides its target.
-void Steering::Impl::settle(const Request &request, Attempt &attempt)
+void Steering::Impl::releaseAttempt(const Request &request, Attempt &attempt)
 {
-    if (attempt.host && !attempt.toHome) {
-        m_holder.ended(*attempt.host, request.info.service);
+    if (attempt.host && !attempt.toOwner) {
+        m_holder.endUse(*attempt.host, request.info.service);
     }
     if (attempt.isHedge) {
         attempt.isHedge = false;
-        m_issuer.ended({Charge::Kind::Home, m_region, {}}, request.info.service);
+        m_issuer.endUse({Charge::Kind::Local, m_region, {}}, request.info.service);
     }
 }
 
-void Steering::Impl::afterFailure(Request &request, const Attempt &attempt, AttemptResult result)
+void Steering::Impl::handleFailedAttempt(Request &request, const Attempt &attempt, AttemptResult result)
 {
-    const bool othersRun =
+    const bool othersRunning =
         std::any_of(request.attempts.begin(), request.attempts.end(), [](const Attempt &it) { return it.isRunning; });
-    if (othersRun) {
+    if (othersRunning) {
         return;
     }
     const std::string peer = peerName(attempt);
-    const Reason reason = reasonOf(result, attempt.toHome, request.charge.kind);
+    const Reason reason = reasonOf(result, attempt.toOwner, request.charge.kind);
     if (request.phase == Phase::Detached) {
         finishClaim(request, {request.info.id, attempt.number, result, false, nullptr});
         const std::string key = request.info.key;
-        release(request);
+        releaseCharge(request);
         erase(request.info.id);
         answerWaiters(key);
         return;
     }
-    // A home that can't be asked, or can't tell, may have run the operation for an earlier request with this key.
-    if (attempt.toHome) {
+    // If the key's owner is unreachable or reports unknown, it may have run the operation for an earlier request with
+    // this key.
+    if (attempt.toOwner) {
         const Outcome outcome = result == AttemptResult::RemoteNotRun ? Outcome::NotRun : Outcome::Unknown;
         refuse(request, outcome, result == AttemptResult::RemoteNotRun ? Reason::ClaimClosed : reason, peer);
         return;
     }
     const bool isOnce = request.info.cls == RouteClass::Once;
-    const bool shedOnce = isOnce && result == AttemptResult::Shed;
-    const bool mayRepeat = isCertainlyNotRun(result) ? !shedOnce : request.info.cls == RouteClass::Read;
-    const bool paysToken = result != AttemptResult::NotSent && result != AttemptResult::RemoteNotRun;
-    const bool hasRoom = request.attempts.size() < MaxAttempts && !isHopeless(request);
-    if (result != AttemptResult::TooLarge && mayRepeat && hasRoom && (!paysToken || takeRetryToken())) {
+    const bool isOnceShed = isOnce && result == AttemptResult::Shed;
+    const bool mayRetry = wasCertainlyNotRun(result) ? !isOnceShed : request.info.cls == RouteClass::Read;
+    const bool needsToken = result != AttemptResult::NotSent && result != AttemptResult::RemoteNotRun;
+    const bool canRetry = request.attempts.size() < MaxAttempts && !willMissDeadline(request);
+    if (result != AttemptResult::TooLarge && mayRetry && canRetry && (!needsToken || takeRetryToken())) {
         if (!place(request)) {
             return;
         }
     }
-    refuse(request, request.sent ? Outcome::Unknown : Outcome::NotRun, reason, peer);
+    refuse(request, request.maybeSent ? Outcome::Unknown : Outcome::NotRun, reason, peer);
 }
 
 bool Steering::Impl::takeRetryToken()
@@ -181,23 +181,24 @@
             continue;
         }
         attempt.isRunning = false;
-        request.sent = true;
+        request.maybeSent = true;
         const Duration took = m_now - attempt.startedAt;
         if (attempt.target) {
             const Duration mean = m_pool.meanLatency(request.info.service);
             const bool isSlow = mean > Duration{} && took > mean * SlowFactor;
-            m_pool.cancelled(*attempt.target, isSlow ? TargetEvidence::Failure : TargetEvidence::Neutral, took, m_now);
+            m_pool.cancelRequest(*attempt.target, isSlow ? TargetEvidence::Failure : TargetEvidence::Neutral, took,
+                                 m_now);
         }
-        settle(request, attempt);
+        releaseAttempt(request, attempt);
         m_out->emplace_back(CancelAttempt{request.info.id, attempt.number});
     }
 }
 
-void Steering::Impl::release(Request &request)
+void Steering::Impl::releaseCharge(Request &request)
 {
     if (request.isCharged) {
         request.isCharged = false;
-        m_issuer.ended(request.charge, request.info.service);
+        m_issuer.endUse(request.charge, request.info.service);
     }
 }
 
@@ -207,15 +208,15 @@
     if (it == m_requests.end()) {
         return;
     }
-    if (it->second.isCounted) {
-        m_demand[idx(it->second.info.service)].ended();
+    if (it->second.countsAsDemand) {
+        m_demand[idx(it->second.info.service)].requestEnded();
     }
     m_requests.erase(it);
 }
 
-// A once-only operation that has been dispatched is left to run, so that a resend can be told what came of it. Its
-// caller gets an answer now all the same.
-void Steering::Impl::deadlinePassed(Request &request)
+// A dispatched once-only operation continues past its deadline, so that its result can be returned to a retry of the
+// caller. The caller is answered now.
+void Steering::Impl::handleDeadline(Request &request)
 {
     const RequestId id = request.info.id;
     const ServiceId service = request.info.service;
@@ -224,7 +225,7 @@
         cancelAttempts(request);
         finishClaim(request, {id, 0, AttemptResult::Broken, false, nullptr});
         const std::string key = request.info.key;
-        release(request);
+        releaseCharge(request);
         erase(id);
         answerWaiters(key);
     } else if (wasRunning && request.holdsClaim) {
@@ -233,15 +234,15 @@
         m_timers.push({m_now + m_bundle->services[idx(service)].maxDeadline, id, TimerKind::Deadline});
         return;
     } else if (request.phase == Phase::AwaitingCloseSync) {
-        return; // the refusal is on its way and is certain; it waits for the disk alone
+        return; // the refusal is final and only waits for the disk
     } else {
-        const bool maybeRan = wasRunning || request.sent || request.phase == Phase::AwaitingOther;
+        const bool maybeRan = wasRunning || request.maybeSent || request.phase == Phase::AwaitingEarlierRequest;
         refuse(request, maybeRan ? Outcome::Unknown : Outcome::NotRun, Reason::DeadlinePassed, {});
     }
     runQueue(service);
 }
 
-void Steering::Impl::on(const CallerLeft &event)
+void Steering::Impl::handle(const CallerDisconnected &event)
 {
     const auto it = m_requests.find(event.id);
     if (it == m_requests.end() || it->second.phase == Phase::Detached) {
@@ -258,28 +259,29 @@
         if (request.phase == Phase::Running) {
             request.phase = Phase::Detached;
         }
-        return; // a dispatched operation goes on; a resend will ask for its end
+        return; // a dispatched operation continues; a retry of the caller gets its result
     }
     cancelAttempts(request);
-    release(request);
+    releaseCharge(request);
     erase(event.id);
     runQueue(service);
 }
 
-void Steering::Impl::hedge(Request &request)
+void Steering::Impl::startHedge(Request &request)
 {
     const bool runsOnce = request.phase == Phase::Running && request.attempts.size() == 1 && request.attempts[0].target;
-    if (!runsOnce || request.hedged || isHopeless(request) || !m_sliceValid || m_retryTokens < 1) {
+    if (!runsOnce || request.wasHedged || willMissDeadline(request) || !m_sliceValid || m_retryTokens < 1) {
         return;
     }
     const ServiceId service = request.info.service;
-    const bool hasRoom = m_issuer.committed(service) < localCapacity(service) && m_queues[idx(service)].home.empty();
-    const auto target = hasRoom ? m_pool.choose(service, request.triedTargets, m_now, m_random) : std::nullopt;
+    const bool hasFreeSlot =
+        m_issuer.committed(service) < localCapacity(service) && m_queues[idx(service)].local.empty();
+    const auto target = hasFreeSlot ? m_pool.choose(service, request.triedTargets, m_now, m_random) : std::nullopt;
     if (!target || !takeRetryToken()) {
         return;
     }
-    request.hedged = true;
-    m_issuer.started({Charge::Kind::Home, m_region, {}}, service);
+    request.wasHedged = true;
+    m_issuer.startUse({Charge::Kind::Local, m_region, {}}, service);
     startAtTarget(request, *target, Reason::Hedge);
     request.attempts.back().isHedge = true;
 }
--- a/lib/Steer/Describe.cpp
+++ b/lib/Steer/Describe.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// One overload for each effect; ids become the names that operators know.
+// Has one overload per effect. Ids are replaced by names.
 class Describer
 {
 public:
@@ -37,7 +37,7 @@
                 {"request", number(it.id)},
                 {"attempt", it.attempt},
                 {"host", name(it.host)},
-                {"to_home", it.toHome}};
+                {"to_home", it.toOwner}};
     }
 
     nlohmann::json operator()(const CancelAttempt &it) const
@@ -45,12 +45,12 @@
         return {{"effect", "cancel"}, {"request", number(it.id)}, {"attempt", it.attempt}};
     }
 
-    nlohmann::json operator()(const Finish &it) const
+    nlohmann::json operator()(const RelayAnswer &it) const
     {
         return {{"effect", "finish"}, {"request", number(it.id)}, {"attempt", it.attempt}};
     }
 
-    nlohmann::json operator()(const FinishStored &it) const
+    nlohmann::json operator()(const SendStoredAnswer &it) const
     {
         return {{"effect", "finish-stored"}, {"request", number(it.id)}};
     }
@@ -65,7 +65,7 @@
                 {"peer", it.peer}};
     }
 
-    nlohmann::json operator()(const AskLease &it) const
+    nlohmann::json operator()(const SendLeaseRequest &it) const
     {
         return {{"effect", "ask-lease"}, {"host", name(it.issuer)}, {"sequence", it.request.sequence}};
     }
--- a/lib/Steer/OnceFlow.cpp
+++ b/lib/Steer/OnceFlow.cpp
@@ -1,8 +1,8 @@
-//===- OnceFlow.cpp - The way of a once-only operation --------------------===//
+//===- OnceFlow.cpp - Claims of once-only operations ----------------------===//
 //
-// Only the home of a key may claim it, and only the holder of a fresh claim may dispatch. What a caller is told speaks
-// of the operation: another request with the same key may have run it, so "not run" is said only by the home, after it
-// has closed the claim for good.
+// Only the owner of a key may claim it, and only the request that was granted the claim may be dispatched. The outcome
+// in an answer concerns the operation: another request with the same key may have run it, so only the key's owner
+// answers "not run", after it has closed the claim permanently.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -20,7 +20,7 @@
         return false;
     }
     if (key->home.host != m_settings.hostName) {
-        startAtHome(request, *key);
+        startAtOwner(request, *key);
         return false;
     }
     const ClaimResult result = m_ledger.claim(*key, request.info.requestDigest, m_now);
@@ -34,12 +34,12 @@
         m_out->emplace_back(SyncClaim{request.info.id, m_ledger.recordOf(request.info.key, m_now), true});
         return false;
     case ClaimVerdict::InProgress:
-        request.phase = Phase::AwaitingOther;
+        request.phase = Phase::AwaitingEarlierRequest;
         m_waiters[request.info.key].push_back(request.info.id);
         return false;
     case ClaimVerdict::Answered:
         if (result.answer) {
-            m_out->emplace_back(FinishStored{request.info.id, result.answer});
+            m_out->emplace_back(SendStoredAnswer{request.info.id, result.answer});
             erase(request.info.id);
         } else {
             refuse(request, Outcome::Unknown, Reason::ClaimUnknown, {});
@@ -64,21 +64,21 @@
     return false;
 }
 
-void Steering::Impl::startAtHome(Request &request, const OperationKey &key)
+void Steering::Impl::startAtOwner(Request &request, const OperationKey &key)
 {
     if (request.info.forwardedBy) {
         refuse(request, Outcome::Unknown, Reason::LoopRefused, {});
         return;
     }
-    const std::optional<HostId> home = m_bundle->findHost(key.home.host);
-    if (!home) {
+    const std::optional<HostId> owner = m_bundle->findHost(key.home.host);
+    if (!owner) {
         refuse(request, Outcome::Unknown, Reason::KeyForeign, key.home.host);
         return;
     }
-    startAtHost(request, *home, Reason::Home, true);
+    startAtHost(request, *owner, Reason::Owner, true);
 }
 
-void Steering::Impl::on(const ClaimSynced &event)
+void Steering::Impl::handle(const ClaimSynced &event)
 {
     const auto it = m_requests.find(event.id);
     if (it == m_requests.end()) {
@@ -110,7 +110,7 @@
     std::optional<LedgerRecord> record;
     if (isAnswered) {
         record = m_ledger.answered(request.info.key, event.answer, m_now);
-    } else if (request.sent) {
+    } else if (request.maybeSent) {
         record = m_ledger.markUnknown(request.info.key, m_now);
     } else {
         record = m_ledger.closeNotRun(request.info.key, m_now);
@@ -137,7 +137,7 @@
     return mustWait;
 }
 
-// Requests that came while the first one with their key was running get what came of it.
+// Requests that arrived while an earlier one with their key was running get its result.
 void Steering::Impl::answerWaiters(const std::string &key)
 {
     const auto it = m_waiters.find(key);
@@ -148,9 +148,9 @@
     m_waiters.erase(it);
     for (const RequestId id : ids) {
         const auto found = m_requests.find(id);
-        if (found != m_requests.end() && found->second.phase == Phase::AwaitingOther) {
+        if (found != m_requests.end() && found->second.phase == Phase::AwaitingEarlierRequest) {
             [[maybe_unused]] const bool isGranted = claim(found->second);
-            assert(!isGranted && "an ended claim was granted again");
+            assert(!isGranted && "a closed claim was granted again");
         }
     }
 }
--- a/lib/Steer/Placement.cpp
+++ b/lib/Steer/Placement.cpp
@@ -1,7 +1,8 @@
-//===- Placement.cpp - Where a request runs -------------------------------===//
+//===- Placement.cpp - Placement of requests ------------------------------===//
 //
-// Own slice first, then the nearest lease with room, then a short queue, else an honest refusal at once. Where the own
-// slice is full, waiting for it and going further are weighed by the time that each adds.
+// A request is placed on the own slice first, then under the nearest lease with free slots, then in a short queue;
+// otherwise it is refused at once. If the own slice is full, the queue and the lease are compared by the latency that
+// each adds.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -16,30 +17,30 @@
 
 constexpr auto MinRetryAfter = Milliseconds(100);
 constexpr auto MaxRetryAfter = Milliseconds(10000);
-constexpr double MaxRetryTokens = 10;
-constexpr unsigned MinQueue = 8; ///< small slices see larger swings
-constexpr std::size_t MaxNeighbours = 2; ///< asked one after the other for one request
-constexpr std::size_t ForeignTurns = 1; ///< callers of another region that may wait for each slot that they hold
+constexpr double MaxRetryTokens = 10; ///< depth of the retry budget, in retries
+constexpr unsigned MinQueueLimit = 8; ///< requests; demand swings relatively more on small slices
+constexpr std::size_t MaxNeighbours = 2; ///< hosts of this region tried in turn for one request
+constexpr std::size_t QueuedPerHeldSlot = 1; ///< queued requests of another region per slot that it holds
 
 } // namespace
 
-// A caller of another region counts against that region's cap and link wherever in this region its request comes in, so
-// one that a neighbour passes on counts as if it had come here itself.
+// A caller of another region counts against that region's shift cap and link limit regardless of the host of this
+// region that receives its request, so a request forwarded by a host of this region counts as if received directly.
 Charge Steering::Impl::chargeOf(const RequestArrived &info) const
 {
-    const bool isForeign = info.callerZone && m_bundle->regionOf(*info.callerZone) != m_region;
-    const bool fromNeighbour = info.forwardedBy && m_bundle->regionOf(*info.forwardedBy) == m_region;
-    const bool underLease = info.forwardedBy && !info.toHome && !(isForeign && fromNeighbour);
+    const bool isOtherRegion = info.callerZone && m_bundle->regionOf(*info.callerZone) != m_region;
+    const bool forwardedInRegion = info.forwardedBy && m_bundle->regionOf(*info.forwardedBy) == m_region;
+    const bool underLease = info.forwardedBy && !info.toOwner && !(isOtherRegion && forwardedInRegion);
     if (underLease && m_settings.strategy == Strategy::Leases) {
         return {Charge::Kind::Holder, m_bundle->regionOf(*info.forwardedBy), *info.forwardedBy};
     }
-    if (isForeign && m_settings.strategy == Strategy::Leases) {
+    if (isOtherRegion && m_settings.strategy == Strategy::Leases) {
         return {Charge::Kind::Region, m_bundle->regionOf(*info.callerZone), {}};
     }
-    return {Charge::Kind::Home, m_region, {}};
+    return {Charge::Kind::Local, m_region, {}};
 }
 
-void Steering::Impl::on(const RequestArrived &event)
+void Steering::Impl::handle(const RequestArrived &event)
 {
     Request &request = m_requests[event.id];
     request.info = event;
@@ -50,9 +51,9 @@
     }
     request.charge = chargeOf(event);
     request.info.deadline = std::min(event.deadline, m_now + m_bundle->services[idx(event.service)].maxDeadline);
-    if (request.charge.kind == Charge::Kind::Home) {
-        m_demand[idx(event.service)].arrived();
-        request.isCounted = true;
+    if (request.charge.kind == Charge::Kind::Local) {
+        m_demand[idx(event.service)].requestArrived();
+        request.countsAsDemand = true;
     }
     m_timers.push({request.info.deadline, event.id, TimerKind::Deadline});
     if (event.cls == RouteClass::Read) {
@@ -71,21 +72,21 @@
     if (m_settings.strategy != Strategy::Leases) {
         return placeByBaseline(request);
     }
-    // Whoever waits already goes first, unless this request may go where the waiting ones may not.
-    const bool mayOvertake = request.charge.kind == Charge::Kind::Holder || noneWaitBefore(request);
+    // Queued requests have precedence, unless this request may use slots that they may not.
+    const bool mayTryLocal = request.charge.kind == Charge::Kind::Holder || noneQueuedAhead(request);
     std::optional<Reason> reason = Reason::NoCapacity;
-    if (mayOvertake) {
+    if (mayTryLocal) {
         reason = tryLocal(request);
         if (!reason) {
             return std::nullopt;
         }
     }
-    const bool wasPassedOn = request.info.forwardedBy && !request.info.toHome;
-    if (wasPassedOn) {
-        return reason; // the host that it came from decides where it goes next
+    const bool wasForwarded = request.info.forwardedBy && !request.info.toOwner;
+    if (wasForwarded) {
+        return reason; // the forwarding host decides on the next attempt
     }
-    const std::optional<RegionId> region = onwardRegion(request.charge);
-    if (leaseIsQuicker(request.info.service, region, request.triedHosts) && tryLease(request)) {
+    const std::optional<RegionId> region = forwardRegion(request.charge);
+    if (isLeaseFaster(request.info.service, region, request.triedHosts) && tryLease(request)) {
         return std::nullopt;
     }
     if (tryNeighbour(request) || enqueue(request) || tryLease(request)) {
@@ -101,7 +102,7 @@
     }
     const ServiceId service = request.info.service;
     const unsigned capacity = localCapacity(service);
-    if (request.charge.kind == Charge::Kind::Home && m_issuer.committed(service) >= capacity) {
+    if (request.charge.kind == Charge::Kind::Local && m_issuer.committed(service) >= capacity) {
         return Reason::NoCapacity;
     }
     const std::optional<TargetId> target = m_pool.choose(service, request.triedTargets, m_now, m_random);
@@ -112,42 +113,44 @@
         if (const auto reason = m_issuer.admit(request.charge, service, capacity, m_now)) {
             return reason;
         }
-        m_issuer.started(request.charge, service);
+        m_issuer.startUse(request.charge, service);
         request.isCharged = true;
     }
     startAtTarget(request, *target, Reason::LocalTarget);
     return std::nullopt;
 }
 
-// A caller of another region whom this host can't serve is sent on to its own region only: sending it to a third one
-// would be a shift that no cap here accounts for.
+// A request of a caller of another region that this host can't serve is forwarded to the caller's own region only:
+// forwarding it to a third region would be a shift that no cap here accounts for.
 bool Steering::Impl::tryLease(Request &request)
 {
-    const std::optional<RegionId> region = onwardRegion(request.charge);
-    const auto host = m_holder.choose(request.info.service, region, request.triedHosts, m_now);
+    const std::optional<RegionId> region = forwardRegion(request.charge);
+    const auto host = m_holder.chooseLease(request.info.service, region, request.triedHosts, m_now);
     if (!host) {
         return false;
     }
-    release(request);
+    releaseCharge(request);
     startAtHost(request, *host, Reason::LeasedZone, false);
     return true;
 }
 
-// A caller of another region may be served anywhere in this one; a neighbour that said it has room is asked.
+// A caller of another region may be served by any host of this region, so the request is forwarded to one that reported
+// spare slots.
 bool Steering::Impl::tryNeighbour(Request &request)
 {
     if (request.charge.kind != Charge::Kind::Region) {
         return false;
     }
-    auto host = m_holder.chooseSpare(request.info.service, m_region, request.triedHosts, m_now);
-    if (!host && !m_queues[idx(request.info.service)].home.empty()) {
-        // What a neighbour said is a little old; where own callers wait here already, asking it costs least.
-        host = m_holder.chooseAny(m_region, request.triedHosts, m_now);
+    auto host = m_holder.chooseWithSpare(request.info.service, m_region, request.triedHosts, m_now);
+    if (!host && !m_queues[idx(request.info.service)].local.empty()) {
+        // Reported spare slots may be out of date. If callers of this region are queued here, trying another host is
+        // the cheapest option.
+        host = m_holder.chooseAlive(m_region, request.triedHosts, m_now);
     }
     if (!host || request.attempts.size() >= MaxNeighbours) {
         return false;
     }
-    release(request);
+    releaseCharge(request);
     startAtHost(request, *host, Reason::Neighbour, false);
     return true;
 }
@@ -171,7 +174,7 @@
         startAtHost(request, host, Reason::LeasedZone, false);
         return std::nullopt;
     }
-    const std::optional<Reason> reason = noneWaitBefore(request) ? tryLocal(request) : Reason::NoCapacity;
+    const std::optional<Reason> reason = noneQueuedAhead(request) ? tryLocal(request) : Reason::NoCapacity;
     if (!reason || enqueue(request)) {
         return std::nullopt;
     }
@@ -183,82 +186,82 @@
     return m_pool.meanLatency(service) * (waiting + 1) / std::max(1U, slots);
 }
 
-Duration Steering::Impl::homeWait(ServiceId service) const
+Duration Steering::Impl::localQueueWait(ServiceId service) const
 {
     const unsigned committed = m_issuer.committed(service);
-    const unsigned takenByOthers = committed - m_issuer.homeUsed(service);
+    const unsigned takenByOthers = committed - m_issuer.localUsed(service);
     const unsigned capacity = localCapacity(service);
     const unsigned slots = capacity > takenByOthers ? capacity - takenByOthers : 0;
-    return queueWait(service, m_queues[idx(service)].home.size(), slots);
+    return queueWait(service, m_queues[idx(service)].local.size(), slots);
 }
 
 std::deque<RequestId> &Steering::Impl::queueOf(const Request &request)
 {
     ServiceQueue &queues = m_queues[idx(request.info.service)];
-    return request.charge.kind == Charge::Kind::Home ? queues.home : queues.foreign[request.charge.region];
+    return request.charge.kind == Charge::Kind::Local ? queues.local : queues.otherRegions[request.charge.region];
 }
 
-bool Steering::Impl::noneWaitBefore(const Request &request)
+bool Steering::Impl::noneQueuedAhead(const Request &request)
 {
-    return m_queues[idx(request.info.service)].home.empty() && queueOf(request).empty();
+    return m_queues[idx(request.info.service)].local.empty() && queueOf(request).empty();
 }
 
-std::optional<RegionId> Steering::Impl::onwardRegion(const Charge &charge) const
+std::optional<RegionId> Steering::Impl::forwardRegion(const Charge &charge) const
 {
     return charge.kind == Charge::Kind::Region ? std::optional(charge.region) : std::nullopt;
 }
 
-bool Steering::Impl::leaseIsQuicker(ServiceId service, std::optional<RegionId> region,
-                                    const std::vector<HostId> &excluded) const
+bool Steering::Impl::isLeaseFaster(ServiceId service, std::optional<RegionId> region,
+                                   const std::vector<HostId> &excluded) const
 {
-    const auto host = m_holder.choose(service, region, excluded, m_now);
+    const auto host = m_holder.chooseLease(service, region, excluded, m_now);
     if (!host) {
         return false;
     }
     const auto oneWay = m_bundle->latency(m_zone, m_bundle->hosts[idx(*host)].zone);
-    return localCapacity(service) == 0 || Duration(oneWay) * 2 < homeWait(service);
+    return localCapacity(service) == 0 || Duration(oneWay) * 2 < localQueueWait(service);
 }
 
-// Callers of another region wait only where they hold slots here that will come free, and not for more than about two
-// turns of them: what a cap does not allow now is refused now.
+// Callers of another region are queued only if they hold slots here that will become free, and for about two turns of
+// these slots at most: a request that a cap does not allow now is refused now.
 bool Steering::Impl::enqueue(Request &request)
 {
     const ServiceId service = request.info.service;
     std::deque<RequestId> &queue = queueOf(request);
-    // As many in line as there are slots keep every slot busy; a longer queue adds wait and serves hardly anybody more.
-    const unsigned useful = std::max(localCapacity(service), MinQueue);
-    std::size_t limit = std::min(m_bundle->services[idx(service)].queue, useful);
-    Duration wait = homeWait(service);
+    // A queue as long as the number of slots keeps every slot busy; a longer one adds wait and hardly any throughput.
+    const unsigned usefulLength = std::max(localCapacity(service), MinQueueLimit);
+    std::size_t limit = std::min(m_bundle->services[idx(service)].queue, usefulLength);
+    Duration wait = localQueueWait(service);
     if (request.charge.kind == Charge::Kind::Region) {
-        const unsigned held = m_issuer.heldBy(request.charge.region, service);
-        // Behind own callers who wait already, the wait has no bound.
-        limit = m_queues[idx(service)].home.empty() ? std::min<std::size_t>(limit, held * ForeignTurns) : 0;
+        const unsigned held = m_issuer.heldByRegion(request.charge.region, service);
+        // Behind queued callers of this region, the wait is unbounded.
+        limit = m_queues[idx(service)].local.empty() ? std::min<std::size_t>(limit, held * QueuedPerHeldSlot) : 0;
         wait = queueWait(service, queue.size(), held);
     }
     const bool isTooLate = m_now + wait + m_pool.meanLatency(service) >= request.info.deadline;
     if (queue.size() >= limit || isTooLate || localCapacity(service) == 0) {
         return false;
     }
-    release(request);
+    releaseCharge(request);
     request.phase = Phase::Queued;
     queue.push_back(request.info.id);
-    log(request, Reason::Queued, std::nullopt, std::nullopt, 0);
+    logDecision(request, Reason::Queued, std::nullopt, std::nullopt, 0);
     return true;
 }
 
-bool Steering::Impl::isHopeless(const Request &request) const
+bool Steering::Impl::willMissDeadline(const Request &request) const
 {
     return m_now + m_pool.meanLatency(request.info.service) > request.info.deadline;
 }
 
-// Requests that can no longer be served in time are answered here and now, not held until their deadline.
+// Requests that can no longer meet their deadline are refused now, not held until the deadline.
 void Steering::Impl::runQueue(ServiceId service)
 {
-    runQueue(service, m_queues[idx(service)].home);
-    if (!m_queues[idx(service)].home.empty()) {
-        return; // own callers first
+    runQueue(service, m_queues[idx(service)].local);
+    if (!m_queues[idx(service)].local.empty()) {
+        return; // callers of this region have precedence
     }
-    for (auto &[region, queue] : m_queues[idx(service)].foreign) {
+    for (auto &[region, queue] : m_queues[idx(service)].otherRegions) {
         runQueue(service, queue);
     }
 }
@@ -272,17 +275,17 @@
             continue;
         }
         Request &request = it->second;
-        if (isHopeless(request)) {
+        if (willMissDeadline(request)) {
             queue.pop_front();
-            // A read that waits for another attempt may have run in its first.
-            refuse(request, request.sent ? Outcome::Unknown : Outcome::NotRun, Reason::NoCapacity, {});
+            // A read that is queued for another attempt may have run in its first one.
+            refuse(request, request.maybeSent ? Outcome::Unknown : Outcome::NotRun, Reason::NoCapacity, {});
             continue;
         }
         if (!tryLocal(request)) {
             queue.pop_front();
             continue;
         }
-        if (!leaseIsQuicker(service, onwardRegion(request.charge), request.triedHosts) || !tryLease(request)) {
+        if (!isLeaseFaster(service, forwardRegion(request.charge), request.triedHosts) || !tryLease(request)) {
             return;
         }
         queue.pop_front();
@@ -295,34 +298,34 @@
     attempt.number = static_cast<unsigned>(request.attempts.size());
     attempt.target = target;
     attempt.startedAt = m_now;
-    m_pool.started(target);
+    m_pool.startRequest(target);
     request.phase = Phase::Running;
     request.triedTargets.push_back(target);
     request.attempts.push_back(attempt);
-    log(request, attempt.number == 0 || reason == Reason::Hedge ? reason : Reason::Retry, target, std::nullopt,
-        attempt.number);
+    logDecision(request, attempt.number == 0 || reason == Reason::Hedge ? reason : Reason::Retry, target, std::nullopt,
+                attempt.number);
     m_out->emplace_back(Dispatch{request.info.id, attempt.number, target, request.info.deadline});
-    const bool mayHedge = request.info.cls == RouteClass::Read && !request.hedged && !request.info.forwardedBy;
+    const bool mayHedge = request.info.cls == RouteClass::Read && !request.wasHedged && !request.info.forwardedBy;
     if (mayHedge && m_pool.meanLatency(request.info.service) > Duration{}) {
-        m_timers.push({m_now + m_pool.hedgeAfter(request.info.service), request.info.id, TimerKind::Hedge});
+        m_timers.push({m_now + m_pool.hedgeDelay(request.info.service), request.info.id, TimerKind::Hedge});
     }
 }
 
-void Steering::Impl::startAtHost(Request &request, HostId host, Reason reason, bool toHome)
+void Steering::Impl::startAtHost(Request &request, HostId host, Reason reason, bool toOwner)
 {
     Attempt attempt;
     attempt.number = static_cast<unsigned>(request.attempts.size());
     attempt.host = host;
-    attempt.toHome = toHome;
+    attempt.toOwner = toOwner;
     attempt.startedAt = m_now;
-    if (!toHome) {
-        m_holder.started(host, request.info.service);
+    if (!toOwner) {
+        m_holder.startUse(host, request.info.service);
     }
     request.phase = Phase::Running;
     request.triedHosts.push_back(host);
     request.attempts.push_back(attempt);
-    log(request, reason, std::nullopt, host, attempt.number);
-    m_out->emplace_back(Forward{request.info.id, attempt.number, host, request.info.deadline, toHome});
+    logDecision(request, reason, std::nullopt, host, attempt.number);
+    m_out->emplace_back(Forward{request.info.id, attempt.number, host, request.info.deadline, toOwner});
 }
 
 Milliseconds Steering::Impl::retryAfter(const Request &request, Reason reason) const
@@ -334,7 +337,7 @@
     case Reason::NoCapacity:
     case Reason::Shed:
     case Reason::TargetUnreachable: {
-        const auto wait = std::chrono::duration_cast<Milliseconds>(homeWait(request.info.service) * 2);
+        const auto wait = std::chrono::duration_cast<Milliseconds>(localQueueWait(request.info.service) * 2);
         return std::clamp(wait, MinRetryAfter, MaxRetryAfter);
     }
     case Reason::ShiftCap:
@@ -344,7 +347,7 @@
     case Reason::NotReady:
         return std::chrono::duration_cast<Milliseconds>(m_holder.exchangeInterval()) + MinRetryAfter;
     case Reason::SliceExpired:
-    case Reason::HomeUnreachable:
+    case Reason::OwnerUnreachable:
         return m_bundle->policy.leaseTime;
     default:
         return Milliseconds{};
@@ -355,9 +358,9 @@
 {
     const Refuse refusal{request.info.id, outcome, reason, retryAfter(request, reason), peer};
     cancelAttempts(request);
-    release(request);
+    releaseCharge(request);
     if (m_self) {
-        log(request, reason, std::nullopt, std::nullopt, 0);
+        logDecision(request, reason, std::nullopt, std::nullopt, 0);
     }
     if (request.holdsClaim && closeClaim(request, refusal)) {
         return;
@@ -370,8 +373,8 @@
     }
 }
 
-void Steering::Impl::log(const Request &request, Reason reason, std::optional<TargetId> target,
-                         std::optional<HostId> host, unsigned attempt)
+void Steering::Impl::logDecision(const Request &request, Reason reason, std::optional<TargetId> target,
+                                 std::optional<HostId> host, unsigned attempt)
 {
     Decision decision;
     decision.id = request.info.id;
--- a/lib/Steer/Steering.cpp
+++ b/lib/Steer/Steering.cpp
@@ -1,7 +1,7 @@
 //===- Steering.cpp - The reducer of an entry host ------------------------===//
 //
-// Dispatches events to the parts of the state and runs what time brings. Everything that is decided is decided under
-// one caller at a time, so the sums that promises rest on never race.
+// Dispatches events to the parts of the state and runs timers and periodic work. Events are applied one at a time, so
+// the sums of committed capacity are never subject to races.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr auto StopGrace = Milliseconds(500); ///< for look-up answers on their way
+constexpr auto StopGrace = Milliseconds(500); ///< delivery time of look-up answers
 constexpr auto LedgerSweepInterval = std::chrono::seconds(1);
 
 } // namespace
@@ -29,7 +29,7 @@
 {
 }
 
-void Steering::Impl::tell(std::string what, std::string subject, std::string detail)
+void Steering::Impl::reportChange(std::string what, std::string subject, std::string detail)
 {
     m_out->emplace_back(StateChange{std::move(what), std::move(subject), std::move(detail)});
 }
@@ -39,9 +39,9 @@
     return m_sliceValid ? m_pool.capacity(service) : 0;
 }
 
-unsigned Steering::Impl::homeNeed(ServiceId service) const
+unsigned Steering::Impl::localNeed(ServiceId service) const
 {
-    return std::min(localCapacity(service), m_demand[idx(service)].needed());
+    return std::min(localCapacity(service), m_demand[idx(service)].meanSlots());
 }
 
 std::vector<unsigned> Steering::Impl::capacities() const
@@ -53,24 +53,25 @@
     return all;
 }
 
-std::vector<unsigned> Steering::Impl::homeNeeds() const
+std::vector<unsigned> Steering::Impl::localNeeds() const
 {
     std::vector<unsigned> all(m_bundle->services.size());
     for (std::size_t n = 0; n < all.size(); ++n) {
-        all[n] = homeNeed(makeId<ServiceId>(n));
+        all[n] = localNeed(makeId<ServiceId>(n));
     }
     return all;
 }
 
-void Steering::Impl::on(const LeaseAsked &event)
+void Steering::Impl::handle(const LeaseRequestArrived &event)
 {
     if (!m_self || idx(event.holder) >= m_bundle->hosts.size()) {
         return;
     }
     const LeaseRequest &request = event.request;
-    m_holder.heard(event.holder, {request.configIndex, request.leaving, request.ledgerId, request.ledgerAge}, m_now);
-    LeaseGrant grant = m_issuer.answer(event.holder, event.request, capacities(), homeNeeds(), m_now);
-    const OwnState own = ownState();
+    m_holder.recordContact(event.holder, {request.configIndex, request.leaving, request.ledgerId, request.ledgerAge},
+                           m_now);
+    LeaseGrant grant = m_issuer.handleRequest(event.holder, event.request, capacities(), localNeeds(), m_now);
+    const HostStatus own = ownStatus();
     grant.configIndex = own.configIndex;
     grant.leaving = own.isLeaving;
     grant.ledgerId = own.ledgerId;
@@ -78,9 +79,10 @@
     m_out->emplace_back(GrantLease{event.holder, std::move(grant)});
 }
 
-void Steering::Impl::on(const LeaseGranted &event)
+void Steering::Impl::handle(const LeaseGranted &event)
 {
-    if (!m_self || idx(event.issuer) >= m_bundle->hosts.size() || !m_holder.granted(event.issuer, event.grant, m_now)) {
+    if (!m_self || idx(event.issuer) >= m_bundle->hosts.size()
+        || !m_holder.handleGrant(event.issuer, event.grant, m_now)) {
         return;
     }
     for (std::size_t n = 0; n < m_queues.size(); ++n) {
@@ -88,33 +90,33 @@
     }
 }
 
-void Steering::Impl::on(const LeaseFailed &event)
+void Steering::Impl::handle(const LeaseFailed &event)
 {
     if (m_self && idx(event.issuer) < m_bundle->hosts.size()) {
-        m_holder.failed(event.issuer, event.sequence);
+        m_holder.handleFailure(event.issuer, event.sequence);
     }
 }
 
-void Steering::Impl::on(const TargetReported &event)
+void Steering::Impl::handle(const TargetReported &event)
 {
     if (!m_self || idx(event.target) >= m_bundle->targets.size()) {
         return;
     }
-    m_pool.report(event, m_now);
+    m_pool.applyReport(event, m_now);
     m_pool.setDrain(event.target, DrainSource::Target, event.leaving, m_now, *m_out);
 }
 
-void Steering::Impl::on(const StopAsked &)
+void Steering::Impl::handle(const StopRequested &)
 {
-    if (m_stopAskedAt) {
+    if (m_stopRequestedAt) {
         return;
     }
-    m_stopAskedAt = m_now;
-    m_holder.askSoon();
-    tell("stop asked", m_settings.hostName);
+    m_stopRequestedAt = m_now;
+    m_holder.makeAllDue();
+    reportChange("stop asked", m_settings.hostName);
 }
 
-void Steering::Impl::on(const Tick &)
+void Steering::Impl::handle(const Tick &)
 {
     if (!m_self) {
         checkStop();
@@ -122,7 +124,7 @@
     }
     m_pool.refresh(m_now, *m_out);
     m_issuer.refresh(m_now);
-    for (ExpiringCount &lookups : m_homeLookups) {
+    for (ExpiringCount &lookups : m_localLookups) {
         lookups.expire(m_now);
     }
     refreshSlice();
@@ -147,21 +149,21 @@
     std::vector<unsigned> overflow(m_demand.size(), 0);
     for (std::size_t n = 0; n < overflow.size(); ++n) {
         const ServiceId service = makeId<ServiceId>(n);
-        const unsigned demand = m_demand[n].wanted();
-        const unsigned homeUsed = m_issuer.homeUsed(service);
+        const unsigned demand = m_demand[n].slotsWithMargin();
+        const unsigned localUsed = m_issuer.localUsed(service);
         const unsigned committed = m_issuer.committed(service);
-        const unsigned takenByOthers = committed - homeUsed;
+        const unsigned takenByOthers = committed - localUsed;
         const unsigned capacity = localCapacity(service);
-        const unsigned room = capacity > takenByOthers ? capacity - takenByOthers : 0;
-        overflow[n] = demand > room ? demand - room : 0;
+        const unsigned available = capacity > takenByOthers ? capacity - takenByOthers : 0;
+        overflow[n] = demand > available ? demand - available : 0;
     }
-    m_holder.poll(overflow, ownState(), m_now, *m_out);
+    m_holder.poll(overflow, ownStatus(), m_now, *m_out);
 }
 
-OwnState Steering::Impl::ownState() const
+HostStatus Steering::Impl::ownStatus() const
 {
     const HomeToken token = m_ledger.token(m_now);
-    const bool isLeaving = m_stopAskedAt.has_value() || isDrainedHost(*m_self);
+    const bool isLeaving = m_stopRequestedAt.has_value() || isDrainedHost(*m_self);
     return {m_index, isLeaving, token.ledgerId, token.issued};
 }
 
@@ -175,39 +177,40 @@
             continue;
         }
         if (timer.kind == TimerKind::Deadline) {
-            deadlinePassed(it->second);
+            handleDeadline(it->second);
         } else {
-            hedge(it->second);
+            startHedge(it->second);
         }
     }
 }
 
 void Steering::Impl::checkPeers()
 {
-    m_alive.resize(m_bundle->hosts.size(), true);
+    m_reportedAlive.resize(m_bundle->hosts.size(), true);
     for (const HostId host : m_holder.issuers()) {
         const bool isAlive = m_holder.isAlive(host, m_now);
-        if (m_alive[idx(host)] != isAlive) {
-            tell(isAlive ? "host heard again" : "host lost", m_bundle->hosts[idx(host)].name);
+        if (m_reportedAlive[idx(host)] != isAlive) {
+            reportChange(isAlive ? "host heard again" : "host lost", m_bundle->hosts[idx(host)].name);
         }
-        m_alive[idx(host)] = isAlive;
+        m_reportedAlive[idx(host)] = isAlive;
     }
 }
 
-// Callers may keep a look-up answer that names this host until its time is over. Other hosts hand such answers out
-// until they hear that this one is leaving, which takes an exchange; and an answer takes a while to reach its caller.
+// Callers cache a look-up answer that names this host until its TTL expires. Other hosts give such answers until they
+// receive the report that this host is leaving, which takes one exchange, and an answer takes a while to reach its
+// caller.
 void Steering::Impl::checkStop()
 {
-    if (!m_stopAskedAt || m_stopTold || !m_requests.empty()) {
+    if (!m_stopRequestedAt || m_stopReported || !m_requests.empty()) {
         return;
     }
     const Duration ttl = m_bundle ? Duration(m_bundle->policy.lookupTtl) : Duration{};
-    const Duration spread = m_self ? m_holder.exchangeInterval() + StopGrace : Duration{};
-    if (m_now < *m_stopAskedAt + ttl + spread) {
+    const Duration propagation = m_self ? m_holder.exchangeInterval() + StopGrace : Duration{};
+    if (m_now < *m_stopRequestedAt + ttl + propagation) {
         return;
     }
-    m_stopTold = true;
-    tell("stop ready", m_settings.hostName);
+    m_stopReported = true;
+    reportChange("stop ready", m_settings.hostName);
     m_out->emplace_back(StopReady{});
 }
 
@@ -224,7 +227,7 @@
 {
     m_impl->m_now = std::max(m_impl->m_now, now);
     m_impl->m_out = &out;
-    std::visit([this](const auto &it) { m_impl->on(it); }, event);
+    std::visit([this](const auto &it) { m_impl->handle(it); }, event);
     m_impl->m_out = nullptr;
 }
 
@@ -256,10 +259,10 @@
     view.inFlight = m_impl->m_pool.inFlight(service);
     view.committed = m_impl->m_issuer.committed(service);
     view.lent = m_impl->m_issuer.lent(service);
-    view.held = m_impl->m_holder.held(service, m_impl->m_now);
-    view.heldInUse = m_impl->m_holder.inUse(service);
+    view.held = m_impl->m_holder.heldSlots(service, m_impl->m_now);
+    view.heldInUse = m_impl->m_holder.usedSlots(service);
     view.queued = static_cast<unsigned>(m_impl->m_queues[idx(service)].size());
-    view.demand = m_impl->m_demand[idx(service)].wanted();
+    view.demand = m_impl->m_demand[idx(service)].slotsWithMargin();
     return view;
 }
 
--- a/lib/Steer/TraceReader.cpp
+++ b/lib/Steer/TraceReader.cpp
@@ -1,4 +1,4 @@
-//===- TraceReader.cpp - Lines of a trace become events -------------------===//
+//===- TraceReader.cpp - Trace lines to events ----------------------------===//
 #include "Trace.h"
 
 namespace pepperlug
@@ -66,7 +66,7 @@
     event.callerZone = readOptionalId<ZoneId>(line, "zone");
     event.deadline = readTime(line, "deadline");
     event.forwardedBy = readOptionalId<HostId>(line, "forwarded_by");
-    event.toHome = line.value("to_home", false);
+    event.toOwner = line.value("to_home", false);
     event.claimed = line.value("claimed", false);
     event.key = line.value("key", std::string());
     event.requestDigest = line.value("digest", std::string());
@@ -104,7 +104,7 @@
         return event;
     }
     if (kind == "control-heard") {
-        return ControlHeard{line.at("index").get<std::uint64_t>()};
+        return ControlReplied{line.at("index").get<std::uint64_t>()};
     }
     if (kind == "lookup") {
         return LookupArrived{readId<RequestId>(line, "id"), readId<ServiceId>(line, "service"),
@@ -117,10 +117,10 @@
         return readAttemptEnded(line);
     }
     if (kind == "caller-left") {
-        return CallerLeft{readId<RequestId>(line, "id")};
+        return CallerDisconnected{readId<RequestId>(line, "id")};
     }
     if (kind == "lease-asked") {
-        return LeaseAsked{readId<HostId>(line, "holder"), readLeaseRequest(line)};
+        return LeaseRequestArrived{readId<HostId>(line, "holder"), readLeaseRequest(line)};
     }
     if (kind == "lease-granted") {
         return LeaseGranted{readId<HostId>(line, "issuer"), readLeaseGrant(line)};
@@ -133,13 +133,13 @@
                               line.at("load").get<double>(), line.at("leaving").get<bool>()};
     }
     if (kind == "platform-listed") {
-        return PlatformListed{line.at("leaving").get<std::vector<std::string>>()};
+        return PlatformListArrived{line.at("leaving").get<std::vector<std::string>>()};
     }
     if (kind == "claim-synced") {
         return ClaimSynced{readId<RequestId>(line, "id"), static_cast<ClaimState>(line.at("state").get<int>())};
     }
     if (kind == "stop") {
-        return StopAsked{};
+        return StopRequested{};
     }
     if (kind == "tick") {
         return Tick{};
--- a/lib/Steer/TraceWriter.cpp
+++ b/lib/Steer/TraceWriter.cpp
@@ -1,4 +1,4 @@
-//===- TraceWriter.cpp - Events become lines of a trace -------------------===//
+//===- TraceWriter.cpp - Events to trace lines ----------------------------===//
 #include "Trace.h"
 
 namespace pepperlug
@@ -15,7 +15,7 @@
     return id ? json(idx(*id)) : json();
 }
 
-// Writers: one overload for each event.
+// Has one overload per event.
 class EventWriter
 {
 public:
@@ -34,7 +34,7 @@
                 {"void_hosts", it.voidHosts}};
     }
 
-    json operator()(const ControlHeard &it) const
+    json operator()(const ControlReplied &it) const
     {
         return {{"event", "control-heard"}, {"index", it.index}};
     }
@@ -54,7 +54,7 @@
                 {"zone", optionalId(it.callerZone)},
                 {"deadline", it.deadline.time_since_epoch().count()},
                 {"forwarded_by", optionalId(it.forwardedBy)},
-                {"to_home", it.toHome},
+                {"to_home", it.toOwner},
                 {"claimed", it.claimed},
                 {"key", it.key},
                 {"digest", it.requestDigest}};
@@ -69,12 +69,12 @@
                 {"leaving", it.targetLeaving}};
     }
 
-    json operator()(const CallerLeft &it) const
+    json operator()(const CallerDisconnected &it) const
     {
         return {{"event", "caller-left"}, {"id", idx(it.id)}};
     }
 
-    json operator()(const LeaseAsked &it) const
+    json operator()(const LeaseRequestArrived &it) const
     {
         json wants = json::array();
         for (const ServiceWant &want : it.request.wants) {
@@ -122,7 +122,7 @@
                 {"leaving", it.leaving}};
     }
 
-    json operator()(const PlatformListed &it) const
+    json operator()(const PlatformListArrived &it) const
     {
         return {{"event", "platform-listed"}, {"leaving", it.leavingTargets}};
     }
@@ -132,7 +132,7 @@
         return {{"event", "claim-synced"}, {"id", idx(it.id)}, {"state", static_cast<int>(it.state)}};
     }
 
-    json operator()(const StopAsked &) const
+    json operator()(const StopRequested &) const
     {
         return {{"event", "stop"}};
     }
