--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -19,7 +19,7 @@
 {
 
 /// How much more than one arrival a request all entry hosts together may cause.
-struct RetryTerms {
+struct RetryBudgetSettings {
     double ratio = 0.1; ///< of the requests in the window
     Duration window = std::chrono::seconds(10);
     double slack = 10; ///< retries in a window besides, over all hosts
@@ -42,7 +42,7 @@
     std::string host; ///< HostReport::id of this host
     std::string zone;
     std::map<std::string, std::string> regionOfZone;
-    RetryTerms retries;
+    RetryBudgetSettings retries;
     QuotaTerms quotas;
     double maxShift = 0.15; ///< part of a region's requests that may move to other regions from one window to the next
     Duration shiftWindow = std::chrono::seconds(2);
--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -22,7 +22,7 @@
 struct FleetBounds {
     Duration grace = std::chrono::seconds(6); ///< from SIGTERM to the end
     Duration acknowledge = std::chrono::seconds(4); ///< in which operators expect an answer
-    RetryTerms retries;
+    RetryBudgetSettings retries;
     QuotaTerms quotas;
     double maxShift = 0.15;
     Duration reportInterval = Milliseconds(1500); ///< between two reports of a target
--- a/lib/Balance/RetryBudget.h
+++ b/lib/Balance/RetryBudget.h
@@ -11,7 +11,7 @@
 class RetryBudget
 {
 public:
-    explicit RetryBudget(const RetryTerms &terms)
+    explicit RetryBudget(const RetryBudgetSettings &terms)
         : m_terms(terms)
     {
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    RetryTerms m_terms;
+    RetryBudgetSettings m_terms;
     std::deque<TimePoint> m_requests;
     std::deque<TimePoint> m_retries;
 };
