--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -30,7 +30,7 @@
     /// Targets of a region that may serve a key: the next one only gets it where the one before would be late.
     unsigned targetsPerKey = 1;
     /// Regions are chosen by weighted rendezvous hashing, so that a changed share moves no other key.
-    bool hasSteadyRegions = true;
+    bool hashesRegions = true;
     /// Callers that were refused and waited are served late rather than never, where the answer is predicted to need no
     /// more than this part of the time they have left; 0: only in time. Measured: docs/POLICY.md.
     double latePart = 0.35;
--- a/lib/Fleet/Settings.cpp
+++ b/lib/Fleet/Settings.cpp
@@ -44,7 +44,7 @@
     BalancePolicy policy;
     policy.targetsPerKey =
         static_cast<unsigned>(reader.integer("targets_per_key", 1, MaxTargetsPerKey, policy.targetsPerKey));
-    policy.hasSteadyRegions = reader.boolean("steady_regions", policy.hasSteadyRegions);
+    policy.hashesRegions = reader.boolean("steady_regions", policy.hashesRegions);
     policy.latePart = reader.number("late_part", 0, 1, policy.latePart);
     policy.advisesByQueue = reader.boolean("advise_by_queue", policy.advisesByQueue);
     return policy;
