--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -33,7 +33,7 @@
     bool hashesRegions = true;
     /// Callers that were refused and waited are served late rather than never, where the answer is predicted to need no
     /// more than this part of the time they have left; 0: only in time. Measured: docs/POLICY.md.
-    double latePart = 0.35;
+    double lateDeadlineShare = 0.35;
     /// Refused callers are told to come back when the queue that they met will have drained.
     bool advisesByQueue = true;
 };
--- a/lib/Balance/Admission.cpp
+++ b/lib/Balance/Admission.cpp
@@ -28,7 +28,7 @@
         return FreeFill;
     }
     const double inTime = secondsOf(query.objectiveLeft) * (query.isUrgent ? ObjectivePart : LessUrgentObjectivePart);
-    const double late = secondsOf(query.timeLeft) * query.latePart;
+    const double late = secondsOf(query.timeLeft) * query.lateDeadlineShare;
     const double wait = std::max(inTime, late) - secondsOf(*query.warmWork) - secondsOf(query.way);
     return std::max(freeFill, 1 + wait / std::max(secondsOf(*query.work), LeastWork));
 }
--- a/lib/Balance/Admission.h
+++ b/lib/Balance/Admission.h
@@ -20,7 +20,7 @@
     std::optional<Duration> warmWork; ///< at a target that remembers the key; nothing while too little was seen
     std::optional<Duration> work; ///< mean
     bool isUrgent = false; ///< no route of the service is more urgent
-    double latePart = 0; ///< of the time left that the answer may be predicted to use even if it is late then
+    double lateDeadlineShare = 0; ///< of the time left that the answer may be predicted to use even if it is late then
 };
 
 /// Requests over slots at a target, this one included, up to which a request is let in.
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -121,7 +121,7 @@
     query.timeLeft = open.until - m_now;
     query.way = isAbroad ? AbroadTime : Milliseconds(0);
     query.isUrgent = isMostUrgent(open.route);
-    query.latePart = open.isReturning ? m_settings.policy.latePart : 0;
+    query.lateDeadlineShare = open.isReturning ? m_settings.policy.lateDeadlineShare : 0;
     return pepperlug::fleet::admissibleFill(query);
 }
 
@@ -129,7 +129,7 @@
 // was told gets no precedence.
 bool Balancer::Impl::isReturning(const OpenRequest &open)
 {
-    if (m_settings.policy.latePart <= 0 || !open.request.deadline) {
+    if (m_settings.policy.lateDeadlineShare <= 0 || !open.request.deadline) {
         return false;
     }
     const std::optional<Duration> whole = m_stats[open.route.name].wholeDeadline();
--- a/lib/Fleet/Settings.cpp
+++ b/lib/Fleet/Settings.cpp
@@ -45,7 +45,7 @@
     policy.targetsPerKey =
         static_cast<unsigned>(reader.integer("targets_per_key", 1, MaxTargetsPerKey, policy.targetsPerKey));
     policy.hashesRegions = reader.boolean("steady_regions", policy.hashesRegions);
-    policy.latePart = reader.number("late_part", 0, 1, policy.latePart);
+    policy.lateDeadlineShare = reader.number("late_part", 0, 1, policy.lateDeadlineShare);
     policy.advisesByQueue = reader.boolean("advise_by_queue", policy.advisesByQueue);
     return policy;
 }
--- a/unittests/Balance/AdmissionTest.cpp
+++ b/unittests/Balance/AdmissionTest.cpp
@@ -58,7 +58,7 @@
 TEST_CASE("a returning caller is served late rather than never")
 {
     AdmissionQuery query = urgentRequest();
-    query.latePart = 0.35;
+    query.lateDeadlineShare = 0.35;
     CHECK(admissibleFill(query) > admissibleFill(urgentRequest()));
     query.timeLeft = 100ms;
     CHECK(admissibleFill(query) == Approx(admissibleFill(urgentRequest())));
