--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -35,7 +35,7 @@
     /// more than this part of the time they have left; 0: only in time. Measured: docs/POLICY.md.
     double lateDeadlineShare = 0.35;
     /// Refused callers are told to come back when the queue that they met will have drained.
-    bool advisesByQueue = true;
+    bool derivesRetryAfterFromQueue = true;
 };
 
 struct BalanceSettings {
--- a/lib/Fleet/Settings.cpp
+++ b/lib/Fleet/Settings.cpp
@@ -46,7 +46,7 @@
         static_cast<unsigned>(reader.integer("targets_per_key", 1, MaxTargetsPerKey, policy.targetsPerKey));
     policy.hashesRegions = reader.boolean("steady_regions", policy.hashesRegions);
     policy.lateDeadlineShare = reader.number("late_part", 0, 1, policy.lateDeadlineShare);
-    policy.advisesByQueue = reader.boolean("advise_by_queue", policy.advisesByQueue);
+    policy.derivesRetryAfterFromQueue = reader.boolean("advise_by_queue", policy.derivesRetryAfterFromQueue);
     return policy;
 }
 
