--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -50,7 +50,7 @@
     std::uint64_t seed = 0;
     /// Age from which on this host must take it that routes were added of which it has not heard; and the longest time
     /// for which it decides by routing after it has heard of a newer one.
-    Duration newsLease = NewsLease;
+    Duration updateLease = NewsLease;
     Duration firstTrialPause = FirstTrialPause; ///< of a request that is shut out
     BalancePolicy policy;
 };
--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -40,9 +40,9 @@
         m_isSuspended = false;
         return;
     }
-    const bool isLate = m_lastNews->isComing && m_now - *m_lastNews->behindSince > m_settings.newsLease;
+    const bool isLate = m_lastNews->isComing && m_now - *m_lastNews->behindSince > m_settings.updateLease;
     // Nobody waits for a host that is cut off, so it serves on.
-    const bool isCutOff = m_now - m_lastNews->askedAt > CutOffLeases * m_settings.newsLease;
+    const bool isCutOff = m_now - m_lastNews->askedAt > CutOffLeases * m_settings.updateLease;
     m_isSuspended = !isCutOff && (isLate || m_isSuspended);
 }
 
@@ -55,7 +55,7 @@
 // Routes that are known are served whatever the age of the view: a zone that is cut off serves on.
 bool Balancer::Impl::mayHaveMissedRoutes() const
 {
-    return !m_lastNews || m_lastNews->behindSince || m_now - m_lastNews->askedAt > m_settings.newsLease;
+    return !m_lastNews || m_lastNews->behindSince || m_now - m_lastNews->askedAt > m_settings.updateLease;
 }
 
 const Route *Balancer::Impl::routeInForce(const OpenRequest &open) const
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -47,7 +47,7 @@
     balance.maxShift = settings.bounds.maxShift;
     balance.linkBytesPerSecond = settings.linkBytesPerSecond;
     balance.seed = hash64(incarnation);
-    balance.newsLease = settings.newsLease;
+    balance.updateLease = settings.newsLease;
     balance.firstTrialPause = settings.firstTrialPause;
     balance.policy = settings.policy;
     return balance;
