--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -51,7 +51,7 @@
     /// Age from which on this host must take it that routes were added of which it has not heard; and the longest time
     /// for which it decides by routing after it has heard of a newer one.
     Duration updateLease = NewsLease;
-    Duration firstTrialPause = FirstTrialPause; ///< of a request that is shut out
+    Duration firstProbeDelay = FirstTrialPause; ///< of a request that is shut out
     BalancePolicy policy;
 };
 
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -95,7 +95,7 @@
     : m_settings(std::move(settings))
     , m_random(m_settings.seed)
     , m_targets(m_settings)
-    , m_quarantine(m_settings.firstTrialPause)
+    , m_quarantine(m_settings.firstProbeDelay)
     , m_quotas(m_settings.quotas, m_settings.seed)
     , m_link(m_settings.linkBytesPerSecond)
 {
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -48,7 +48,7 @@
     balance.linkBytesPerSecond = settings.linkBytesPerSecond;
     balance.seed = hash64(incarnation);
     balance.updateLease = settings.newsLease;
-    balance.firstTrialPause = settings.firstTrialPause;
+    balance.firstProbeDelay = settings.firstTrialPause;
     balance.policy = settings.policy;
     return balance;
 }
