--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -64,7 +64,7 @@
 
 struct ReportsChanged {
     RegistryChanges changes;
-    bool isWhole = false; ///< all that the telling host knows, not only what changed
+    bool isSnapshot = false; ///< all that the telling host knows, not only what changed
     std::vector<RegionDemand> demand{}; ///< of all regions; empty if nothing is told of it
     std::vector<TargetReport> remembered{}; ///< targets that nobody has confirmed since the control hosts' restart
 };
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -129,7 +129,7 @@
     if (!event.demand.empty()) {
         m_targets.setDemand(event.demand);
     }
-    if (event.isWhole) {
+    if (event.isSnapshot) {
         m_targets.doubtOthers(event.changes, m_now);
     }
     followBackpressure();
