--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -66,7 +66,7 @@
     RegistryChanges changes;
     bool isSnapshot = false; ///< all that the telling host knows, not only what changed
     std::vector<RegionDemand> demand{}; ///< of all regions; empty if nothing is told of it
-    std::vector<TargetReport> remembered{}; ///< targets that nobody has confirmed since the control hosts' restart
+    std::vector<TargetReport> restored{}; ///< targets that nobody has confirmed since the control hosts' restart
 };
 
 /// A control host in touch with a majority told what was new.
--- a/unittests/Balance/BalancerTest.cpp
+++ b/unittests/Balance/BalancerTest.cpp
@@ -165,7 +165,7 @@
     Host host;
     host.useTable();
     ReportsChanged news;
-    news.remembered = {Host::targetOf("t1"), Host::targetOf("t2")};
+    news.restored = {Host::targetOf("t1"), Host::targetOf("t2")};
     host.reduce(news);
     host.request("/read/x");
     CHECK(host.find<StartAttempt>() != nullptr);
@@ -188,7 +188,7 @@
     draining.presence = Presence::Draining;
     host.report(draining);
     ReportsChanged news;
-    news.remembered = {Host::targetOf("t1")};
+    news.restored = {Host::targetOf("t1")};
     host.reduce(news);
     host.request("/read/x");
     CHECK(host.find<StartAttempt>() == nullptr);
