--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -70,7 +70,7 @@
 };
 
 /// A control host in touch with a majority told what was new.
-struct NewsReceived {
+struct UpdateReceived {
     TimePoint askedAt{}; ///< all that it knew then is known here
     std::optional<TimePoint> behindSince{}; ///< when this host heard of the oldest routing that it has not got
     bool isComing = true; ///< what it has not got is on its way; false: it can't be read here
@@ -162,7 +162,7 @@
 struct BalanceTick {
 };
 
-using BalanceEvent = std::variant<RoutesChanged, ReportsChanged, NewsReceived, CallerRequest, CallerLeft, AnswerBegun,
+using BalanceEvent = std::variant<RoutesChanged, ReportsChanged, UpdateReceived, CallerRequest, CallerLeft, AnswerBegun,
                                   AttemptEnded, TargetSignalled, BackpressureTold, TargetChecked, SuspectsTold,
                                   TenantLoadsTold, TrialDecided, BalanceTick>;
 
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -106,7 +106,7 @@
     Milliseconds retryAfter(const OpenRequest &open, Refusal reason, Duration drainTime);
 
     // RoutesInForce.cpp
-    void on(const NewsReceived &event);
+    void on(const UpdateReceived &event);
     void suspendIfLate();
     bool mayHaveMissedRoutes() const;
     const Route *routeInForce(const OpenRequest &open) const;
@@ -160,7 +160,7 @@
     TargetSet m_targets;
     std::shared_ptr<const RouteTable> m_table;
     std::optional<RouteIndex> m_routeIndex; ///< of the table
-    std::optional<NewsReceived> m_lastNews;
+    std::optional<UpdateReceived> m_lastNews;
     bool m_isSuspended = false;
     std::map<std::string, unsigned> m_urgentPriority; ///< by service: the most urgent one among its routes
     std::unordered_map<std::uint64_t, OpenRequest> m_open;
--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void Balancer::Impl::on(const NewsReceived &event)
+void Balancer::Impl::on(const UpdateReceived &event)
 {
     m_lastNews = event;
     m_quotas.heardAsOf(event.askedAt);
--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -116,7 +116,7 @@
 
 void GatewayDaemon::Impl::tellAgeOfNews()
 {
-    NewsReceived news;
+    UpdateReceived news;
     {
         const std::lock_guard lock(m_mutex);
         if (!m_viewAsOf) {
--- a/unittests/Balance/BalancerTest.cpp
+++ b/unittests/Balance/BalancerTest.cpp
@@ -97,11 +97,11 @@
         return refusal->reason;
     };
     CHECK(refusalOf("/new/x") == Refusal::RoutingLate); // nobody in touch has told it anything
-    host.reduce(NewsReceived{host.now});
+    host.reduce(UpdateReceived{host.now});
     CHECK(refusalOf("/new/x") == Refusal::NoRoute);
-    host.reduce(NewsReceived{host.now, host.now});
+    host.reduce(UpdateReceived{host.now, host.now});
     CHECK(refusalOf("/new/x") == Refusal::RoutingLate);
-    host.reduce(NewsReceived{host.now});
+    host.reduce(UpdateReceived{host.now});
     host.now += NewsLease + 1ms;
     CHECK(refusalOf("/new/x") == Refusal::RoutingLate);
     CHECK(host.find<RefuseRequest>()->retryAfter > 0ms);
--- a/unittests/Balance/TenantTest.cpp
+++ b/unittests/Balance/TenantTest.cpp
@@ -25,7 +25,7 @@
     /// The host is told that it knows all there is.
     void hearNews()
     {
-        reduce(NewsReceived{now});
+        reduce(UpdateReceived{now});
     }
 
     RequestId ask(const std::string &path, const std::string &key)
@@ -82,7 +82,7 @@
     host.hearNews();
     host.ask("/once/x", "k9");
     CHECK(host.refusal() == Refusal::UnknownKey);
-    host.reduce(NewsReceived{host.now, host.now});
+    host.reduce(UpdateReceived{host.now, host.now});
     host.ask("/once/x", "k9");
     CHECK(host.refusal() == Refusal::RoutingLate);
 }
--- a/unittests/InForce/RoutesChangeTest.cpp
+++ b/unittests/InForce/RoutesChangeTest.cpp
@@ -171,7 +171,7 @@
     ChangingHost host;
     const RequestId waiting = host.request("/once/x");
     const TimePoint heardAt = host.now;
-    host.reduce(NewsReceived{host.now, heardAt});
+    host.reduce(UpdateReceived{host.now, heardAt});
     host.now += NewsLease;
     host.reduce(BalanceTick{});
     CHECK_FALSE(host.balancer.isSuspended());
@@ -192,26 +192,26 @@
     SECTION("the routes arrive")
     {
         host.putTable();
-        host.reduce(NewsReceived{host.now});
+        host.reduce(UpdateReceived{host.now});
     }
     SECTION("one change arrives, and another that it has confirmed is still missing")
     {
         host.putTable();
-        host.reduce(NewsReceived{host.now, host.now});
+        host.reduce(UpdateReceived{host.now, host.now});
         CHECK(host.balancer.isSuspended());
         host.putTable();
-        host.reduce(NewsReceived{host.now});
+        host.reduce(UpdateReceived{host.now});
     }
     SECTION("it finds that it can't read what it has confirmed")
     {
-        host.reduce(NewsReceived{host.now, heardAt, false});
+        host.reduce(UpdateReceived{host.now, heardAt, false});
         CHECK(host.balancer.isSuspended());
         host.putTable();
-        host.reduce(NewsReceived{host.now});
+        host.reduce(UpdateReceived{host.now});
     }
     SECTION("it is cut off, so nobody waits for it")
     {
-        host.reduce(NewsReceived{host.now, heardAt});
+        host.reduce(UpdateReceived{host.now, heardAt});
         host.now += 2 * NewsLease;
         host.reduce(BalanceTick{});
         REQUIRE(host.balancer.isSuspended());
@@ -226,7 +226,7 @@
 TEST_CASE("a host that can't read newer routes goes on by its own, and one that is cut off does")
 {
     ChangingHost host;
-    NewsReceived news{host.now};
+    UpdateReceived news{host.now};
     SECTION("it can't read them")
     {
         news.behindSince = host.now;
