--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -71,7 +71,7 @@
 
 /// A control host in touch with a majority told what was new.
 struct UpdateReceived {
-    TimePoint askedAt{}; ///< all that it knew then is known here
+    TimePoint requestedAt{}; ///< all that it knew then is known here
     std::optional<TimePoint> behindSince{}; ///< when this host heard of the oldest routing that it has not got
     bool isComing = true; ///< what it has not got is on its way; false: it can't be read here
 };
--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -22,7 +22,7 @@
 void Balancer::Impl::on(const UpdateReceived &event)
 {
     m_lastNews = event;
-    m_quotas.heardAsOf(event.askedAt);
+    m_quotas.heardAsOf(event.requestedAt);
     suspendIfLate();
 }
 
@@ -42,7 +42,7 @@
     }
     const bool isLate = m_lastNews->isComing && m_now - *m_lastNews->behindSince > m_settings.updateLease;
     // Nobody waits for a host that is cut off, so it serves on.
-    const bool isCutOff = m_now - m_lastNews->askedAt > CutOffLeases * m_settings.updateLease;
+    const bool isCutOff = m_now - m_lastNews->requestedAt > CutOffLeases * m_settings.updateLease;
     m_isSuspended = !isCutOff && (isLate || m_isSuspended);
 }
 
@@ -55,7 +55,7 @@
 // Routes that are known are served whatever the age of the view: a zone that is cut off serves on.
 bool Balancer::Impl::mayHaveMissedRoutes() const
 {
-    return !m_lastNews || m_lastNews->behindSince || m_now - m_lastNews->askedAt > m_settings.updateLease;
+    return !m_lastNews || m_lastNews->behindSince || m_now - m_lastNews->requestedAt > m_settings.updateLease;
 }
 
 const Route *Balancer::Impl::routeInForce(const OpenRequest &open) const
--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -122,7 +122,7 @@
         if (!m_viewAsOf) {
             return;
         }
-        news.askedAt = *m_viewAsOf;
+        news.requestedAt = *m_viewAsOf;
         news.behindSince = m_routingLag.behindSince();
         news.isComing = !m_wantsWholeRouting;
     }
