--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -73,7 +73,7 @@
 struct UpdateReceived {
     TimePoint requestedAt{}; ///< all that it knew then is known here
     std::optional<TimePoint> behindSince{}; ///< when this host heard of the oldest routing that it has not got
-    bool isComing = true; ///< what it has not got is on its way; false: it can't be read here
+    bool isArriving = true; ///< what it has not got is on its way; false: it can't be read here
 };
 
 struct CallerRequest {
--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -40,7 +40,7 @@
         m_isSuspended = false;
         return;
     }
-    const bool isLate = m_lastNews->isComing && m_now - *m_lastNews->behindSince > m_settings.updateLease;
+    const bool isLate = m_lastNews->isArriving && m_now - *m_lastNews->behindSince > m_settings.updateLease;
     // Nobody waits for a host that is cut off, so it serves on.
     const bool isCutOff = m_now - m_lastNews->requestedAt > CutOffLeases * m_settings.updateLease;
     m_isSuspended = !isCutOff && (isLate || m_isSuspended);
--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -124,7 +124,7 @@
         }
         news.requestedAt = *m_viewAsOf;
         news.behindSince = m_routingLag.behindSince();
-        news.isComing = !m_wantsWholeRouting;
+        news.isArriving = !m_wantsWholeRouting;
     }
     m_metrics.gauge("pepperlug_routing_behind", news.behindSince ? 1 : 0);
     reduce(news);
--- a/unittests/InForce/RoutesChangeTest.cpp
+++ b/unittests/InForce/RoutesChangeTest.cpp
@@ -230,7 +230,7 @@
     SECTION("it can't read them")
     {
         news.behindSince = host.now;
-        news.isComing = false;
+        news.isArriving = false;
     }
     SECTION("it has not heard of any")
     {
