--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -128,7 +128,7 @@
 /// What came of CheckTarget.
 struct TargetChecked {
     Incarnation target;
-    bool isRefused = false; ///< nothing listens at its address
+    bool isConnectionRefused = false; ///< nothing listens at its address
 };
 
 /// The head of a target's answer is there, also of one that nobody waits for any more.
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -38,7 +38,7 @@
 void Balancer::Impl::on(const TargetChecked &event)
 {
     const auto unchecked = m_unchecked.extract(event.target);
-    if (unchecked.empty() || !event.isRefused) {
+    if (unchecked.empty() || !event.isConnectionRefused) {
         return;
     }
     m_targets.noteUnreachable(event.target, m_now);
