--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -139,7 +139,7 @@
 };
 
 /// Control hosts told what targets ask for in answers to other hosts.
-struct BackpressureTold {
+struct BackpressureReceived {
     std::vector<BackpressureReport> reports;
 };
 
@@ -163,7 +163,7 @@
 };
 
 using BalanceEvent = std::variant<RoutesChanged, ReportsChanged, UpdateReceived, CallerRequest, CallerLeft, AnswerBegun,
-                                  AttemptEnded, TargetSignalled, BackpressureTold, TargetChecked, SuspectsTold,
+                                  AttemptEnded, TargetSignalled, BackpressureReceived, TargetChecked, SuspectsTold,
                                   TenantLoadsTold, TrialDecided, BalanceTick>;
 
 //===-- Effects ---------------------------------------------------------------===//
--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-void Balancer::Impl::on(const BackpressureTold &event)
+void Balancer::Impl::on(const BackpressureReceived &event)
 {
     for (const BackpressureReport &it : event.reports) {
         if (m_backpressure.merge(it, false, m_now)) {
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -123,7 +123,7 @@
 
     // Backpressures.cpp
     void on(const TargetSignalled &event);
-    void on(const BackpressureTold &event);
+    void on(const BackpressureReceived &event);
     void followBackpressure();
     void applyBackpressure(const Incarnation &target);
     void tellBackpressure(const Incarnation &target, bool isOwn);
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -319,7 +319,7 @@
         reduce(ReportsChanged{reply.changes, reply.isWhole, reply.demand, reply.remembered});
     }
     takeNews<SuspectsTold>(reply.suspects, reply.epoch, m_toldSuspects);
-    takeNews<BackpressureTold>(reply.backpressure, reply.epoch, m_toldBackpressure);
+    takeNews<BackpressureReceived>(reply.backpressure, reply.epoch, m_toldBackpressure);
     onLoadsTold(reply);
     followRouting(receipt.from, reply);
     tellAgeOfNews();
--- a/unittests/Balance/BackpressureTest.cpp
+++ b/unittests/Balance/BackpressureTest.cpp
@@ -131,7 +131,7 @@
     CHECK(used.size() <= Targets / 4);
     for (unsigned n = 0; n < Targets; ++n) {
         BackpressureReport lifted{{"t" + std::to_string(n), 0ms}, false, 0, 0ms};
-        host.reduce(BackpressureTold{{lifted}});
+        host.reduce(BackpressureReceived{{lifted}});
     }
     std::set<std::string> after;
     for (unsigned n = 0; n < 10 * Targets; ++n) {
@@ -143,7 +143,7 @@
 TEST_CASE("a limit that is known before its target holds from its first report on")
 {
     BackpressureHost host;
-    host.reduce(BackpressureTold{{{{"t1", 0ms}, true, 0.05, 0ms}}});
+    host.reduce(BackpressureReceived{{{{"t1", 0ms}, true, 0.05, 0ms}}});
     host.report(Host::targetOf("t1"));
     unsigned sent = 0;
     for (int n = 0; n < 100; ++n) {
@@ -202,7 +202,7 @@
     host.reduce(ReportsChanged{{}, false, {demand, {"r2", "s", 1}}});
     const double before = partAbroad();
     for (unsigned n = 0; n < Targets; ++n) {
-        host.reduce(BackpressureTold{{{{"near" + std::to_string(n), 0ms}, true, 1, 0ms}}});
+        host.reduce(BackpressureReceived{{{{"near" + std::to_string(n), 0ms}, true, 1, 0ms}}});
     }
     for (int n = 0; n < 100; ++n) {
         host.now += 200ms;
@@ -332,7 +332,7 @@
 {
     BackpressureHost host;
     const BackpressureReport leaving{{"t1", 0ms}, false, 0, 0ms, true};
-    host.reduce(BackpressureTold{{leaving}});
+    host.reduce(BackpressureReceived{{leaving}});
     host.report(Host::targetOf("t1"));
     CHECK(host.send().empty());
 }
--- a/unittests/Balance/LimitedTargetsTest.cpp
+++ b/unittests/Balance/LimitedTargetsTest.cpp
@@ -228,7 +228,7 @@
             const auto reports = m_control.changedSince(it->heard, NewsReader::EntryHost, m_now);
             it->heard = m_control.version();
             if (!reports.empty()) {
-                it->host->reduce(BackpressureTold{reports});
+                it->host->reduce(BackpressureReceived{reports});
             }
             it->host->reduce(BalanceTick{});
         }
