--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -144,7 +144,7 @@
 };
 
 /// Another host told of requests under which targets ended.
-struct SuspectsTold {
+struct SuspectsReceived {
     std::vector<SuspectReport> suspects;
 };
 
@@ -163,7 +163,7 @@
 };
 
 using BalanceEvent = std::variant<RoutesChanged, ReportsChanged, UpdateReceived, CallerRequest, CallerLeft, AnswerBegun,
-                                  AttemptEnded, TargetSignalled, BackpressureReceived, TargetChecked, SuspectsTold,
+                                  AttemptEnded, TargetSignalled, BackpressureReceived, TargetChecked, SuspectsReceived,
                                   TenantLoadsTold, TrialDecided, BalanceTick>;
 
 //===-- Effects ---------------------------------------------------------------===//
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -132,7 +132,7 @@
 
     // Suspicion.cpp
     void on(const TargetChecked &event);
-    void on(const SuspectsTold &event);
+    void on(const SuspectsReceived &event);
     void on(const TrialDecided &event);
     bool holdBack(OpenRequest &open);
     bool isShutOut(const OpenRequest &open) const;
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -49,7 +49,7 @@
     }
 }
 
-void Balancer::Impl::on(const SuspectsTold &event)
+void Balancer::Impl::on(const SuspectsReceived &event)
 {
     for (const SuspectReport &it : event.suspects) {
         if (m_quarantine.merge(it, false, m_now)) {
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -318,7 +318,7 @@
     if (!reply.changes.empty() || reply.isWhole || !reply.demand.empty()) {
         reduce(ReportsChanged{reply.changes, reply.isWhole, reply.demand, reply.remembered});
     }
-    takeNews<SuspectsTold>(reply.suspects, reply.epoch, m_toldSuspects);
+    takeNews<SuspectsReceived>(reply.suspects, reply.epoch, m_toldSuspects);
     takeNews<BackpressureReceived>(reply.backpressure, reply.epoch, m_toldBackpressure);
     onLoadsTold(reply);
     followRouting(receipt.from, reply);
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -171,7 +171,7 @@
     host.endTarget();
     const RequestId waiting = host.ask("/once/x");
     CHECK(host.balancer.maySend(waiting, 1));
-    host.reduce(SuspectsTold{{{"d", {{{"far-1", 0ms}, 5ms, false}, {{"far-2", 0ms}, 9ms, false}}, 0, 0ms}}});
+    host.reduce(SuspectsReceived{{{"d", {{{"far-1", 0ms}, 5ms, false}, {{"far-2", 0ms}, 9ms, false}}, 0, 0ms}}});
     REQUIRE(host.find<SuspectChanged>() != nullptr);
     CHECK_FALSE(host.find<SuspectChanged>()->isOwn);
     CHECK_FALSE(host.balancer.maySend(waiting, 1));
--- a/unittests/EndingRequests/SpreadTest.cpp
+++ b/unittests/EndingRequests/SpreadTest.cpp
@@ -322,7 +322,7 @@
             to.quarantine.merge(it, true, m_now);
         }
         entry.told[control] = {to.life, own.version()};
-        SuspectsTold told{
+        SuspectsReceived told{
             to.quarantine.changedSince(sinceOf(entry.has[control], to.life), NewsReader::EntryHost, m_now)};
         entry.has[control] = {to.life, to.quarantine.version()};
         reduce(n, told);
