--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -149,7 +149,7 @@
 };
 
 /// Control hosts told what all entry hosts together are asked for in tenants' names.
-struct TenantLoadsTold {
+struct TenantLoadsReceived {
     std::vector<TenantLoad> loads; ///< of those that come near their limits
 };
 
@@ -164,7 +164,7 @@
 
 using BalanceEvent = std::variant<RoutesChanged, ReportsChanged, UpdateReceived, CallerRequest, CallerLeft, AnswerBegun,
                                   AttemptEnded, TargetSignalled, BackpressureReceived, TargetChecked, SuspectsReceived,
-                                  TenantLoadsTold, TrialDecided, BalanceTick>;
+                                  TenantLoadsReceived, TrialDecided, BalanceTick>;
 
 //===-- Effects ---------------------------------------------------------------===//
 
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -117,7 +117,7 @@
     static bool leadsTo(const Route &route, const Tenant *tenant, const TargetState &target);
 
     // Quotas.cpp
-    void on(const TenantLoadsTold &event);
+    void on(const TenantLoadsReceived &event);
     bool isWithinQuota(OpenRequest &open);
     void giveQuotaBack(const OpenRequest &open, Refusal reason);
 
--- a/lib/Balance/Quotas.cpp
+++ b/lib/Balance/Quotas.cpp
@@ -9,7 +9,7 @@
 namespace pepperlug::fleet
 {
 
-void Balancer::Impl::on(const TenantLoadsTold &event)
+void Balancer::Impl::on(const TenantLoadsReceived &event)
 {
     m_quotas.told(event.loads);
 }
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -341,7 +341,7 @@
                               {{"tenant_hash", it.tenant}, {"per_s", it.perSecond}, {"part", it.part}});
         }
     }
-    reduce(TenantLoadsTold{reply.loads});
+    reduce(TenantLoadsReceived{reply.loads});
 }
 
 bool GatewayDaemon::Impl::isReady()
--- a/unittests/Balance/TenantTest.cpp
+++ b/unittests/Balance/TenantTest.cpp
@@ -215,7 +215,7 @@
     TenantHost host;
     host.table.tenants[0].limit = {10, 10};
     host.putTable();
-    host.reduce(TenantLoadsTold{{{tenantHash("t1"), 100, 0.1}}});
+    host.reduce(TenantLoadsReceived{{{tenantHash("t1"), 100, 0.1}}});
     int sent = 0;
     for (int n = 0; n < 100; ++n) {
         host.now += 10ms;
