--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -154,7 +154,7 @@
 };
 
 /// What came of AskTrial.
-struct TrialDecided {
+struct ProbeDecided {
     RequestId id{};
     bool isGranted = false;
 };
@@ -164,7 +164,7 @@
 
 using BalanceEvent = std::variant<RoutesChanged, ReportsChanged, UpdateReceived, CallerRequest, CallerLeft, AnswerBegun,
                                   AttemptEnded, TargetSignalled, BackpressureReceived, TargetChecked, SuspectsReceived,
-                                  TenantLoadsReceived, TrialDecided, BalanceTick>;
+                                  TenantLoadsReceived, ProbeDecided, BalanceTick>;
 
 //===-- Effects ---------------------------------------------------------------===//
 
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -133,7 +133,7 @@
     // Suspicion.cpp
     void on(const TargetChecked &event);
     void on(const SuspectsReceived &event);
-    void on(const TrialDecided &event);
+    void on(const ProbeDecided &event);
     bool holdBack(OpenRequest &open);
     bool isShutOut(const OpenRequest &open) const;
     bool maySpread(const OpenRequest &open, AttemptOutcome outcome) const;
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -111,7 +111,7 @@
     return true;
 }
 
-void Balancer::Impl::on(const TrialDecided &event)
+void Balancer::Impl::on(const ProbeDecided &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
     if (it == m_open.end() || !it->second.awaitsTrial) {
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -57,7 +57,7 @@
                    const auto [decided, reason] = readReply<FleetTrialReply>(reply, "control host");
                    const bool isGranted = decided && decided->isGranted;
                    m_events.state("trial", {{"digest", effect.digest}, {"granted", isGranted}, {"reason", reason}});
-                   reduce(TrialDecided{effect.id, isGranted});
+                   reduce(ProbeDecided{effect.id, isGranted});
                });
 }
 
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -226,7 +226,7 @@
     CHECK(host.refusal() == Refusal::ShutOut);
     SECTION("granted: one target, and none after it")
     {
-        host.reduce(TrialDecided{tried, true});
+        host.reduce(ProbeDecided{tried, true});
         REQUIRE(host.find<StartAttempt>() != nullptr);
         CHECK(host.balancer.maySend(tried, 1));
         host.ask();
@@ -239,14 +239,14 @@
     }
     SECTION("granted and answered: free")
     {
-        host.reduce(TrialDecided{tried, true});
+        host.reduce(ProbeDecided{tried, true});
         host.end(tried, 1, AttemptOutcome::Answered);
         host.ask();
         CHECK(host.find<StartAttempt>() != nullptr);
     }
     SECTION("not granted")
     {
-        host.reduce(TrialDecided{tried, false});
+        host.reduce(ProbeDecided{tried, false});
         CHECK(host.refusal() == Refusal::ShutOut);
         CHECK(host.balancer.open() == 0);
     }
@@ -255,7 +255,7 @@
         host.now += 3s;
         host.reduce(BalanceTick{});
         CHECK(host.refusal() == Refusal::ShutOut);
-        host.reduce(TrialDecided{tried, true});
+        host.reduce(ProbeDecided{tried, true});
         CHECK(host.find<StartAttempt>() == nullptr);
     }
 }
