--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -153,7 +153,7 @@
     std::vector<TenantLoad> loads; ///< of those that come near their limits
 };
 
-/// What came of AskTrial.
+/// What came of RequestProbe.
 struct ProbeDecided {
     RequestId id{};
     bool isGranted = false;
@@ -197,7 +197,7 @@
 };
 
 /// Ask the control hosts whether a request that is shut out may be tried once.
-struct AskTrial {
+struct RequestProbe {
     RequestId id{};
     std::string digest;
 };
@@ -273,7 +273,7 @@
     Refusal reason{}; ///< Lost or TimedOut
 };
 
-using BalanceEffect = std::variant<StartAttempt, CancelAttempt, CheckTarget, AskTrial, SuspectChanged, RestBegun,
+using BalanceEffect = std::variant<StartAttempt, CancelAttempt, CheckTarget, RequestProbe, SuspectChanged, RestBegun,
                                    BackpressureChanged, PassHead, PassAnswer, AbortAnswer, RefuseRequest>;
 using BalanceEffects = std::vector<BalanceEffect>;
 
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -106,7 +106,7 @@
         return true;
     }
     open.awaitsTrial = true;
-    m_out->emplace_back(AskTrial{open.request.id, digest});
+    m_out->emplace_back(RequestProbe{open.request.id, digest});
     m_open[static_cast<std::uint64_t>(open.request.id)] = std::move(open);
     return true;
 }
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -99,7 +99,7 @@
     // GatewaySuspects.cpp
     void describeSuspects(FleetWatchCall &call, const std::string &epoch);
     void carryOut(const CheckTarget &effect);
-    void carryOut(const AskTrial &effect);
+    void carryOut(const RequestProbe &effect);
     void carryOut(const SuspectChanged &effect);
 
     // GatewayRequests.cpp
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -50,7 +50,7 @@
 }
 
 // A host that serves has its routes from a control host, so one has replied.
-void GatewayDaemon::Impl::carryOut(const AskTrial &effect)
+void GatewayDaemon::Impl::carryOut(const RequestProbe &effect)
 {
     m_net.call(m_followed, path::FleetTrial, encode(FleetTrialCall{effect.digest}), TrialTimeout,
                [this, effect](const PeerReply &reply) {
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -219,10 +219,10 @@
     host.now += 61s;
     const RequestId tried = host.ask();
     CHECK(host.find<StartAttempt>() == nullptr);
-    REQUIRE(host.find<AskTrial>() != nullptr);
-    CHECK(host.find<AskTrial>()->digest == "d");
+    REQUIRE(host.find<RequestProbe>() != nullptr);
+    CHECK(host.find<RequestProbe>()->digest == "d");
     host.ask();
-    CHECK(host.find<AskTrial>() == nullptr);
+    CHECK(host.find<RequestProbe>() == nullptr);
     CHECK(host.refusal() == Refusal::ShutOut);
     SECTION("granted: one target, and none after it")
     {
