--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -181,7 +181,7 @@
     bool hasTenants = false; ///< that table has tenants, so the caller's key is not shown to the target
     std::string tenant; ///< in whose name the caller asks; empty: nobody's
     Duration timeLeft{}; ///< of the caller's deadline and the route's time limit
-    double fill = 0; ///< requests at the target over its slots, as believed
+    double utilization = 0; ///< requests at the target over its slots, as believed
     Milliseconds loadAge{}; ///< of the belief
 };
 
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -215,7 +215,7 @@
     effect.hasTenants = !m_table->tenants.empty();
     effect.tenant = open.tenant;
     effect.timeLeft = open.until - m_now;
-    effect.fill = placement.fill;
+    effect.utilization = placement.fill;
     effect.loadAge = target.load ? std::chrono::duration_cast<Milliseconds>(m_now - target.loadAt) : Milliseconds(-1);
     m_out->emplace_back(std::move(effect));
 }
--- a/lib/Fleet/GatewayRequests.cpp
+++ b/lib/Fleet/GatewayRequests.cpp
@@ -126,7 +126,7 @@
                        {"service", effect.service},
                        {"tenant", effect.tenant},
                        {"key", open.terms.affinityKey},
-                       {"fill", effect.fill},
+                       {"fill", effect.utilization},
                        {"load_age_ms", effect.loadAge.count()},
                        {"table", effect.tableVersion},
                        {"newest_table", m_balancer->tableVersion()},
--- a/unittests/Balance/BalancerTest.cpp
+++ b/unittests/Balance/BalancerTest.cpp
@@ -696,7 +696,7 @@
     }
     host.request("/once/x", "k");
     REQUIRE(host.find<StartAttempt>() != nullptr);
-    CHECK(host.find<StartAttempt>()->fill == Approx(0.25));
+    CHECK(host.find<StartAttempt>()->utilization == Approx(0.25));
 }
 
 TEST_CASE("what becomes of a request of the life before does not touch the next one")
@@ -708,7 +708,7 @@
     std::generate(before.begin(), before.end(), [&] { return host.request("/once/x", "k"); });
     host.report(lifeOf("a", 2000ms));
     const RequestId now = host.request("/once/x", "k");
-    CHECK(host.find<StartAttempt>()->fill == Approx(0.25));
+    CHECK(host.find<StartAttempt>()->utilization == Approx(0.25));
     for (const RequestId id : before) {
         host.end(id, 1, AttemptOutcome::Lost);
         // It may have run there, so it is not said that it has not, and it is not sent again.
@@ -717,7 +717,7 @@
     }
     host.request("/once/x", "k");
     REQUIRE(host.find<StartAttempt>() != nullptr);
-    CHECK(host.find<StartAttempt>()->fill == Approx(0.5));
+    CHECK(host.find<StartAttempt>()->utilization == Approx(0.5));
     host.end(now, 1, AttemptOutcome::Answered);
     CHECK(host.find<PassAnswer>() != nullptr);
 }
