--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -177,7 +177,7 @@
     std::string zone;
     std::string service;
     std::uint64_t tableVersion = 0; ///< of the table whose route led there
-    bool hasHomes = false; ///< that route or the tenant names home regions
+    bool hasHomeRegions = false; ///< that route or the tenant names home regions
     bool hasTenants = false; ///< that table has tenants, so the caller's key is not shown to the target
     std::string tenant; ///< in whose name the caller asks; empty: nobody's
     Duration timeLeft{}; ///< of the caller's deadline and the route's time limit
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -211,7 +211,7 @@
     effect.zone = target.report.zone;
     effect.service = open.service;
     effect.tableVersion = open.tableVersion;
-    effect.hasHomes = !open.route.homeRegions.empty();
+    effect.hasHomeRegions = !open.route.homeRegions.empty();
     effect.hasTenants = !m_table->tenants.empty();
     effect.tenant = open.tenant;
     effect.timeLeft = open.until - m_now;
--- a/lib/Fleet/GatewayRequests.cpp
+++ b/lib/Fleet/GatewayRequests.cpp
@@ -130,7 +130,7 @@
                        {"load_age_ms", effect.loadAge.count()},
                        {"table", effect.tableVersion},
                        {"newest_table", m_balancer->tableVersion()},
-                       {"has_homes", effect.hasHomes},
+                       {"has_homes", effect.hasHomeRegions},
                        {"view_age_ms", viewAge().count()},
                        {"time_left_ms", std::chrono::duration_cast<Milliseconds>(effect.timeLeft).count()}});
     open.calls[attempt] = m_client->start(std::move(call), [this, id, attempt, target, sentAt](HttpResult result) {
--- a/unittests/Balance/TenantTest.cpp
+++ b/unittests/Balance/TenantTest.cpp
@@ -166,7 +166,7 @@
     host.ask("/read/x", "k1");
     REQUIRE(host.find<StartAttempt>() != nullptr);
     CHECK(host.find<StartAttempt>()->target == "far");
-    CHECK(host.find<StartAttempt>()->hasHomes);
+    CHECK(host.find<StartAttempt>()->hasHomeRegions);
     host.ask("/once/x", "k1");
     CHECK(host.find<StartAttempt>()->target == "far");
     host.table.routes[1].homeRegions = {"r1"};
