--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -206,7 +206,7 @@
 struct SuspectChanged {
     std::string digest;
     std::string target; ///< that ended; empty if something else changed
-    std::size_t ends = 0; ///< that speak against it
+    std::size_t crashes = 0; ///< that speak against it
     Standing standing{};
     bool isOwn = false; ///< noticed here, so other hosts have to be told
 };
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -68,7 +68,7 @@
     m_events.state("suspect",
                    {{"digest", effect.digest},
                     {"target", effect.target},
-                    {"ends", effect.ends},
+                    {"ends", effect.crashes},
                     {"standing", nameOf(effect.standing)},
                     {"noticed_here", effect.isOwn}});
 }
