--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -208,7 +208,7 @@
     std::string target; ///< that ended; empty if something else changed
     std::size_t crashes = 0; ///< that speak against it
     Standing standing{};
-    bool isOwn = false; ///< noticed here, so other hosts have to be told
+    bool isLocal = false; ///< noticed here, so other hosts have to be told
 };
 
 /// A target has asked this host for a rest.
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -63,14 +63,14 @@
 
 void GatewayDaemon::Impl::carryOut(const SuspectChanged &effect)
 {
-    m_hasNewsToTell |= effect.isOwn;
+    m_hasNewsToTell |= effect.isLocal;
     m_metrics.count("pepperlug_suspect_changes");
     m_events.state("suspect",
                    {{"digest", effect.digest},
                     {"target", effect.target},
                     {"ends", effect.crashes},
                     {"standing", nameOf(effect.standing)},
-                    {"noticed_here", effect.isOwn}});
+                    {"noticed_here", effect.isLocal}});
 }
 
 } // namespace pepperlug::fleet
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -72,7 +72,7 @@
     host.endTarget();
     host.endTarget();
     CHECK(host.find<SuspectChanged>()->standing == Standing::Suspected);
-    CHECK(host.find<SuspectChanged>()->isOwn);
+    CHECK(host.find<SuspectChanged>()->isLocal);
     host.endTarget();
     CHECK(host.find<SuspectChanged>()->standing == Standing::ShutOut);
     host.ask();
@@ -173,7 +173,7 @@
     CHECK(host.balancer.maySend(waiting, 1));
     host.reduce(SuspectsReceived{{{"d", {{{"far-1", 0ms}, 5ms, false}, {{"far-2", 0ms}, 9ms, false}}, 0, 0ms}}});
     REQUIRE(host.find<SuspectChanged>() != nullptr);
-    CHECK_FALSE(host.find<SuspectChanged>()->isOwn);
+    CHECK_FALSE(host.find<SuspectChanged>()->isLocal);
     CHECK_FALSE(host.balancer.maySend(waiting, 1));
     host.end(waiting, 1, AttemptOutcome::Withdrawn);
     CHECK(host.find<StartAttempt>() == nullptr);
@@ -191,7 +191,7 @@
     host.end(sent, 1, AttemptOutcome::Answered);
     CHECK(host.find<PassAnswer>() != nullptr);
     REQUIRE(host.find<SuspectChanged>() != nullptr);
-    CHECK(host.find<SuspectChanged>()->isOwn);
+    CHECK(host.find<SuspectChanged>()->isLocal);
     CHECK(host.find<SuspectChanged>()->standing == Standing::Free);
     host.ask();
     CHECK(host.find<StartAttempt>() != nullptr);
