--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -222,7 +222,7 @@
     std::string target;
     std::optional<double> perSecond; ///< nothing: it is not limited
     bool isLeaving = false;
-    bool isOwn = false; ///< heard here, so other hosts have to be told
+    bool isLocal = false; ///< heard here, so other hosts have to be told
 };
 
 /// Pass on the head of the answer that an attempt gets, and its body as it comes.
--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -43,11 +43,11 @@
     }
 }
 
-void Balancer::Impl::tellBackpressure(const Incarnation &target, bool isOwn)
+void Balancer::Impl::tellBackpressure(const Incarnation &target, bool isLocal)
 {
     applyBackpressure(target);
     m_out->emplace_back(
-        BackpressureChanged{target.id, m_backpressure.limitOf(target), m_backpressure.isLeaving(target), isOwn});
+        BackpressureChanged{target.id, m_backpressure.limitOf(target), m_backpressure.isLeaving(target), isLocal});
 }
 
 // What a target asks for may be known before the target is.
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -126,7 +126,7 @@
     void on(const BackpressureReceived &event);
     void followBackpressure();
     void applyBackpressure(const Incarnation &target);
-    void tellBackpressure(const Incarnation &target, bool isOwn);
+    void tellBackpressure(const Incarnation &target, bool isLocal);
     void forgetLimits();
     void noteWork(const OpenRequest &open, Duration took);
 
@@ -139,7 +139,7 @@
     bool maySpread(const OpenRequest &open, AttemptOutcome outcome) const;
     void suspect(const OpenRequest &open, const Attempt &attempt);
     void excuse(const OpenRequest &open);
-    void tellChange(const std::string &digest, const std::string &target, bool isOwn);
+    void tellChange(const std::string &digest, const std::string &target, bool isLocal);
     Milliseconds timeToTrial(const OpenRequest &open) const;
 
     // Placement.cpp
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -66,10 +66,10 @@
     }
 }
 
-void Balancer::Impl::tellChange(const std::string &digest, const std::string &target, bool isOwn)
+void Balancer::Impl::tellChange(const std::string &digest, const std::string &target, bool isLocal)
 {
     m_out->emplace_back(
-        SuspectChanged{digest, target, m_quarantine.endsUnder(digest), m_quarantine.standing(digest, m_now), isOwn});
+        SuspectChanged{digest, target, m_quarantine.endsUnder(digest), m_quarantine.standing(digest, m_now), isLocal});
 }
 
 bool Balancer::Impl::isShutOut(const OpenRequest &open) const
--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -49,12 +49,12 @@
 
 void GatewayDaemon::Impl::carryOut(const BackpressureChanged &effect)
 {
-    m_hasNewsToTell |= effect.isOwn;
+    m_hasNewsToTell |= effect.isLocal;
     m_events.state("target-signal",
                    {{"target", effect.target},
                     {"leaving", effect.isLeaving},
                     {"limit_per_s", effect.perSecond ? nlohmann::json(*effect.perSecond) : nlohmann::json()},
-                    {"noticed_here", effect.isOwn}});
+                    {"noticed_here", effect.isLocal}});
 }
 
 } // namespace pepperlug::fleet
--- a/unittests/Balance/BackpressureTest.cpp
+++ b/unittests/Balance/BackpressureTest.cpp
@@ -313,7 +313,7 @@
     event.signal.isLeaving = true;
     host.reduce(event);
     REQUIRE(host.find<BackpressureChanged>() != nullptr);
-    CHECK(host.find<BackpressureChanged>()->isOwn);
+    CHECK(host.find<BackpressureChanged>()->isLocal);
     CHECK(host.find<BackpressureChanged>()->isLeaving);
     CHECK_FALSE(host.balancer.maySend(waiting, 1));
     TargetReport report = Host::targetOf("t1");
