--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -212,7 +212,7 @@
 };
 
 /// A target has asked this host for a rest.
-struct RestBegun {
+struct BackoffStarted {
     std::string target;
     Milliseconds length{}; ///< until this host sends there again
 };
@@ -273,8 +273,9 @@
     Refusal reason{}; ///< Lost or TimedOut
 };
 
-using BalanceEffect = std::variant<StartAttempt, CancelAttempt, CheckTarget, RequestProbe, SuspectChanged, RestBegun,
-                                   BackpressureChanged, PassHead, PassAnswer, AbortAnswer, RefuseRequest>;
+using BalanceEffect =
+    std::variant<StartAttempt, CancelAttempt, CheckTarget, RequestProbe, SuspectChanged, BackoffStarted,
+                 BackpressureChanged, PassHead, PassAnswer, AbortAnswer, RefuseRequest>;
 using BalanceEffects = std::vector<BalanceEffect>;
 
 class Balancer
--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -16,7 +16,7 @@
 {
     if (event.signal.rest) {
         const Duration length = m_targets.startRest(event.target, *event.signal.rest, m_now);
-        m_out->emplace_back(RestBegun{event.target.id, std::chrono::duration_cast<Milliseconds>(length)});
+        m_out->emplace_back(BackoffStarted{event.target.id, std::chrono::duration_cast<Milliseconds>(length)});
     }
     const std::optional<double> before = m_backpressure.limitOf(event.target);
     if (m_backpressure.hear(event.target, event.signal, event.sentAt, m_now)) {
--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -42,7 +42,7 @@
     }
 }
 
-void GatewayDaemon::Impl::carryOut(const RestBegun &effect)
+void GatewayDaemon::Impl::carryOut(const BackoffStarted &effect)
 {
     m_events.decision("target-rests", {{"target", effect.target}, {"for_ms", effect.length.count()}});
 }
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -93,7 +93,7 @@
     // GatewayBackpressure.cpp
     void describeBackpressure(FleetWatchCall &call, const std::string &epoch);
     void onTargetSignal(const Incarnation &target, const AnswerTerms &terms, TimePoint sentAt);
-    void carryOut(const RestBegun &effect);
+    void carryOut(const BackoffStarted &effect);
     void carryOut(const BackpressureChanged &effect);
 
     // GatewaySuspects.cpp
