--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -248,7 +248,7 @@
     Overloaded, ///< would not be served within the objective
     Backpressure, ///< targets asked for less than comes
     LinkFull, ///< this host's link has no room for an answer of this size
-    ShutOut, ///< targets ended under it, wherever it ran; not run
+    Quarantined, ///< targets ended under it, wherever it ran; not run
     NotReached, ///< no target could be reached in time; not run
     Stopping, ///< this host is about to end; not run
     Lost, ///< may have run
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -72,7 +72,7 @@
         return "backpressure";
     case Refusal::LinkFull:
         return "link-full";
-    case Refusal::ShutOut:
+    case Refusal::Quarantined:
         return "shut-out";
     case Refusal::NotReached:
         return "not-reached";
@@ -226,7 +226,7 @@
     if (reason == Refusal::LinkFull) {
         return ElsewhereRetryAfter;
     }
-    if (reason == Refusal::ShutOut) {
+    if (reason == Refusal::Quarantined) {
         return timeToTrial(open);
     }
     if (open.route.name.empty()) {
@@ -371,7 +371,7 @@
     }
     Refusal reason = event.outcome == AttemptOutcome::Shed ? Refusal::Overloaded : Refusal::NotReached;
     if (isShutOut(open)) {
-        reason = Refusal::ShutOut;
+        reason = Refusal::Quarantined;
     }
     if (!hasRoute) {
         reason = m_isSuspended ? Refusal::RoutingLate : Refusal::RouteChanged;
@@ -392,7 +392,7 @@
             continue;
         }
         cancelAttempts(open);
-        giveUp(open, open.awaitsTrial ? Refusal::ShutOut : Refusal::TimedOut);
+        giveUp(open, open.awaitsTrial ? Refusal::Quarantined : Refusal::TimedOut);
         it = m_open.erase(it);
     }
 }
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -102,7 +102,7 @@
     };
     const bool isTrialDue = m_quarantine.standing(digest, m_now) == Standing::TrialDue;
     if (!isTrialDue || std::any_of(m_open.begin(), m_open.end(), isAskedFor)) {
-        refuse(open, Refusal::ShutOut);
+        refuse(open, Refusal::Quarantined);
         return true;
     }
     open.awaitsTrial = true;
@@ -119,7 +119,7 @@
     }
     OpenRequest &open = it->second;
     open.awaitsTrial = false;
-    Placement placement{nullptr, 0, Refusal::ShutOut};
+    Placement placement{nullptr, 0, Refusal::Quarantined};
     if (event.isGranted && followRoutes(open)) {
         m_quarantine.grantTrial(open.request.digest, m_now);
         open.isTrial = true;
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -77,8 +77,8 @@
     CHECK(host.find<SuspectChanged>()->standing == Standing::ShutOut);
     host.ask();
     CHECK(host.find<StartAttempt>() == nullptr);
-    CHECK(host.refusal() == Refusal::ShutOut);
-    CHECK(promisesNotRun(Refusal::ShutOut));
+    CHECK(host.refusal() == Refusal::Quarantined);
+    CHECK(promisesNotRun(Refusal::Quarantined));
     CHECK(host.find<RefuseRequest>()->retryAfter == 60s);
     CHECK(host.balancer.open() == 0);
     host.ask("/read/x", "another");
@@ -177,7 +177,7 @@
     CHECK_FALSE(host.balancer.maySend(waiting, 1));
     host.end(waiting, 1, AttemptOutcome::Withdrawn);
     CHECK(host.find<StartAttempt>() == nullptr);
-    CHECK(host.refusal() == Refusal::ShutOut);
+    CHECK(host.refusal() == Refusal::Quarantined);
 }
 
 TEST_CASE("an answer frees a request that was sent before it was shut out")
@@ -207,7 +207,7 @@
     host.reduce(AttemptEnded{sent, 1, AttemptOutcome::Answered, {}, 0, false, true});
     CHECK(host.find<PassAnswer>() != nullptr);
     host.ask();
-    CHECK(host.refusal() == Refusal::ShutOut);
+    CHECK(host.refusal() == Refusal::Quarantined);
 }
 
 TEST_CASE("a trial is asked for once, holds nobody up, and is sent once")
@@ -223,14 +223,14 @@
     CHECK(host.find<RequestProbe>()->digest == "d");
     host.ask();
     CHECK(host.find<RequestProbe>() == nullptr);
-    CHECK(host.refusal() == Refusal::ShutOut);
+    CHECK(host.refusal() == Refusal::Quarantined);
     SECTION("granted: one target, and none after it")
     {
         host.reduce(ProbeDecided{tried, true});
         REQUIRE(host.find<StartAttempt>() != nullptr);
         CHECK(host.balancer.maySend(tried, 1));
         host.ask();
-        CHECK(host.refusal() == Refusal::ShutOut);
+        CHECK(host.refusal() == Refusal::Quarantined);
         host.lose(tried, 1);
         CHECK(host.find<StartAttempt>() == nullptr);
         CHECK(host.refusal() == Refusal::Lost);
@@ -247,14 +247,14 @@
     SECTION("not granted")
     {
         host.reduce(ProbeDecided{tried, false});
-        CHECK(host.refusal() == Refusal::ShutOut);
+        CHECK(host.refusal() == Refusal::Quarantined);
         CHECK(host.balancer.open() == 0);
     }
     SECTION("no word from the control hosts")
     {
         host.now += 3s;
         host.reduce(BalanceTick{});
-        CHECK(host.refusal() == Refusal::ShutOut);
+        CHECK(host.refusal() == Refusal::Quarantined);
         host.reduce(ProbeDecided{tried, true});
         CHECK(host.find<StartAttempt>() == nullptr);
     }
--- a/unittests/EndingRequests/SpreadTest.cpp
+++ b/unittests/EndingRequests/SpreadTest.cpp
@@ -176,7 +176,7 @@
     void carryOut(unsigned n, const RefuseRequest &effect)
     {
         m_outcome.hotShutOut +=
-            m_entries[n].open[static_cast<std::uint64_t>(effect.id)] == "hot" && effect.reason == Refusal::ShutOut;
+            m_entries[n].open[static_cast<std::uint64_t>(effect.id)] == "hot" && effect.reason == Refusal::Quarantined;
     }
 
     void carryOut(unsigned n, const PassAnswer &effect)
