--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -290,7 +290,7 @@
     void reduce(const BalanceEvent &event, TimePoint now, BalanceEffects &out);
 
     /// Requests that have not ended.
-    std::size_t open() const;
+    std::size_t openRequests() const;
     /// What this host asks of each service, in slots.
     std::vector<ServiceDemand> demand(TimePoint now) const;
     /// Part of this host's link that the answers which callers ask for would use; 0 if it need not be minded.
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -439,7 +439,7 @@
     forgetLimits();
 }
 
-std::size_t Balancer::Impl::open() const
+std::size_t Balancer::Impl::openRequests() const
 {
     return m_open.size();
 }
@@ -486,9 +486,9 @@
     m_impl->reduce(event, now, out);
 }
 
-std::size_t Balancer::open() const
+std::size_t Balancer::openRequests() const
 {
-    return m_impl->open();
+    return m_impl->openRequests();
 }
 
 std::vector<ServiceDemand> Balancer::demand(TimePoint now) const
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -21,7 +21,7 @@
     explicit Impl(BalanceSettings settings);
 
     void reduce(const BalanceEvent &event, TimePoint now, BalanceEffects &out);
-    std::size_t open() const;
+    std::size_t openRequests() const;
     std::vector<ServiceDemand> demand(TimePoint now) const;
     double linkUse(TimePoint now) const;
     std::uint64_t tableVersion() const;
--- a/unittests/Balance/BalancerTest.cpp
+++ b/unittests/Balance/BalancerTest.cpp
@@ -224,7 +224,7 @@
     CHECK(host.find<CancelAttempt>() != nullptr);
     REQUIRE(host.find<RefuseRequest>() != nullptr);
     CHECK(host.find<RefuseRequest>()->reason == Refusal::TimedOut);
-    CHECK(host.balancer.open() == 0);
+    CHECK(host.balancer.openRequests() == 0);
 }
 
 TEST_CASE("the work of a caller who left is cancelled")
@@ -235,7 +235,7 @@
     const RequestId id = host.request("/read/x");
     host.reduce(CallerLeft{id});
     CHECK(host.find<CancelAttempt>() != nullptr);
-    CHECK(host.balancer.open() == 0);
+    CHECK(host.balancer.openRequests() == 0);
 }
 
 TEST_CASE("a key stays with few targets, also when they are full")
@@ -491,7 +491,7 @@
         CHECK(host.find<RefuseRequest>() == nullptr);
         REQUIRE(host.find<AbortAnswer>() != nullptr);
         CHECK_FALSE(promisesNotRun(host.find<AbortAnswer>()->reason));
-        CHECK(host.balancer.open() == 0);
+        CHECK(host.balancer.openRequests() == 0);
     }
 }
 
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -80,7 +80,7 @@
     CHECK(host.refusal() == Refusal::Quarantined);
     CHECK(promisesNotRun(Refusal::Quarantined));
     CHECK(host.find<RefuseRequest>()->retryAfter == 60s);
-    CHECK(host.balancer.open() == 0);
+    CHECK(host.balancer.openRequests() == 0);
     host.ask("/read/x", "another");
     CHECK(host.find<StartAttempt>() != nullptr);
     host.ask("/read/x", "");
@@ -248,7 +248,7 @@
     {
         host.reduce(ProbeDecided{tried, false});
         CHECK(host.refusal() == Refusal::Quarantined);
-        CHECK(host.balancer.open() == 0);
+        CHECK(host.balancer.openRequests() == 0);
     }
     SECTION("no word from the control hosts")
     {
