--- a/lib/Balance/Admission.cpp
+++ b/lib/Balance/Admission.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 // A target that does not remember the key is late in any case, but learns it; the wait is that of the mean request.
-double admissibleFill(const AdmissionQuery &query)
+double admissibleUtilization(const AdmissionQuery &query)
 {
     const double freeFill = query.isUrgent ? FreeFill : LessUrgentFreeFill;
     if (!query.work || !query.warmWork) {
--- a/lib/Balance/Admission.h
+++ b/lib/Balance/Admission.h
@@ -24,6 +24,6 @@
 };
 
 /// Requests over slots at a target, this one included, up to which a request is let in.
-double admissibleFill(const AdmissionQuery &query);
+double admissibleUtilization(const AdmissionQuery &query);
 
 } // namespace pepperlug::fleet
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -82,7 +82,7 @@
         TargetState *target = nullptr;
         double fill = 0;
         Refusal refusal{};
-        double admissibleFill = 1;
+        double admissibleUtilization = 1;
         Duration untilRoom{}; ///< Refusal::Backpressure: until a target takes one more
     };
 
@@ -145,7 +145,7 @@
     // Placement.cpp
     Placement place(const OpenRequest &open);
     Placement placeIn(const OpenRequest &open, const std::string &region, bool keepsKey = true);
-    double admissibleFill(const OpenRequest &open, bool isAbroad) const;
+    double admissibleUtilization(const OpenRequest &open, bool isAbroad) const;
     bool isReturning(const OpenRequest &open);
     std::string pickRegion(const OpenRequest &open);
     std::string pickService(const Route &route);
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -68,9 +68,9 @@
     query.region = region;
     const Duration work = m_stats[open.route.name].work().value_or(open.route.objective);
     query.patience = std::max<Duration>(LeastPatience, work * PatienceInWork);
-    query.admissibleFill = admissibleFill(open, !region.empty() && region != m_region);
+    query.admissibleUtilization = admissibleUtilization(open, !region.empty() && region != m_region);
     Placement placement;
-    placement.admissibleFill = query.admissibleFill;
+    placement.admissibleUtilization = query.admissibleUtilization;
     query.isUrgent = isMostUrgent(open.route);
     const TargetChoice choice = m_targets.choose(query, m_now);
     placement.target = choice.target;
@@ -109,7 +109,7 @@
     return it == m_urgentPriority.end() || route.priority <= it->second;
 }
 
-double Balancer::Impl::admissibleFill(const OpenRequest &open, bool isAbroad) const
+double Balancer::Impl::admissibleUtilization(const OpenRequest &open, bool isAbroad) const
 {
     AdmissionQuery query;
     const auto stats = m_stats.find(open.route.name);
@@ -122,7 +122,7 @@
     query.way = isAbroad ? AbroadTime : Milliseconds(0);
     query.isUrgent = isMostUrgent(open.route);
     query.lateDeadlineShare = open.isReturning ? m_settings.policy.lateDeadlineShare : 0;
-    return pepperlug::fleet::admissibleFill(query);
+    return pepperlug::fleet::admissibleUtilization(query);
 }
 
 // A caller that was refused has less time left than those that come for the first time. One that did not wait as it
@@ -154,13 +154,13 @@
     }
     const std::string region = pickRegion(open);
     const Placement planned = placeIn(open, region);
-    if (planned.target != nullptr && planned.fill <= planned.admissibleFill) {
+    if (planned.target != nullptr && planned.fill <= planned.admissibleUtilization) {
         return planned;
     }
     const bool hasTarget = planned.target != nullptr;
     const bool regionIsDead = !hasTarget && planned.refusal == Refusal::NoTarget;
     const Placement noRoom =
-        hasTarget ? Placement{nullptr, planned.fill, Refusal::Overloaded, planned.admissibleFill} : planned;
+        hasTarget ? Placement{nullptr, planned.fill, Refusal::Overloaded, planned.admissibleUtilization} : planned;
     if (hasTarget && open.affinity != 0 && !open.isReturning) {
         return noRoom;
     }
@@ -170,8 +170,8 @@
         return regionIsDead ? other : noRoom;
     }
     const bool isAbroad = other.target->region != m_region;
-    if (other.fill > admissibleFill(open, isAbroad)) {
-        return {nullptr, other.fill, Refusal::Overloaded, other.admissibleFill};
+    if (other.fill > admissibleUtilization(open, isAbroad)) {
+        return {nullptr, other.fill, Refusal::Overloaded, other.admissibleUtilization};
     }
     const bool mayMove = regionIsDead || !isAbroad
         || m_overflow[open.service].take(m_now, m_settings.shiftWindow, m_settings.maxShift * OverflowPart);
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -252,7 +252,7 @@
     std::sort(ranked.begin(), ranked.end(), [](const auto &lhs, const auto &rhs) { return lhs.first > rhs.first; });
     std::vector<TargetState *> first;
     for (std::size_t n = 0; n < std::min<std::size_t>(m_settings.policy.targetsPerKey, ranked.size()); ++n) {
-        if (fill(ranked[n].second) <= query.admissibleFill) {
+        if (fill(ranked[n].second) <= query.admissibleUtilization) {
             return ranked[n].second;
         }
         first.push_back(ranked[n].second);
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -58,7 +58,8 @@
     const std::vector<std::string> *homeRegions = nullptr; ///< null or empty: any
     std::string region; ///< empty: any
     Duration patience{}; ///< silence after which a target with requests is not trusted
-    double admissibleFill = 1; ///< requests over slots, this one included, up to which it would be answered in time
+    double admissibleUtilization =
+        1; ///< requests over slots, this one included, up to which it would be answered in time
     bool isUrgent = false; ///< no route of the service is more urgent
 };
 
--- a/unittests/Balance/AdmissionTest.cpp
+++ b/unittests/Balance/AdmissionTest.cpp
@@ -26,40 +26,40 @@
 TEST_CASE("a request is let in while its predicted answer is in time")
 {
     // 0.9 of 200 ms less 80 ms of work leave 100 ms to wait, in which one more filling of the slots is served.
-    CHECK(admissibleFill(urgentRequest()) == Approx(2.0));
+    CHECK(admissibleUtilization(urgentRequest()) == Approx(2.0));
 }
 
 TEST_CASE("a way to another region leaves less time to wait")
 {
     AdmissionQuery query = urgentRequest();
     query.way = 50ms;
-    CHECK(admissibleFill(query) == Approx(1.5));
+    CHECK(admissibleUtilization(query) == Approx(1.5));
 }
 
 TEST_CASE("less urgent requests leave room for urgent ones")
 {
     AdmissionQuery query = urgentRequest();
     query.isUrgent = false;
-    CHECK(admissibleFill(query) == Approx(1.7));
+    CHECK(admissibleUtilization(query) == Approx(1.7));
     query.objectiveLeft = 10ms;
-    CHECK(admissibleFill(query) == Approx(0.9));
+    CHECK(admissibleUtilization(query) == Approx(0.9));
 }
 
 TEST_CASE("a free slot may be used whatever the prediction says")
 {
     AdmissionQuery query = urgentRequest();
     query.objectiveLeft = -50ms;
-    CHECK(admissibleFill(query) == Approx(1.0));
+    CHECK(admissibleUtilization(query) == Approx(1.0));
     query.work.reset();
     query.warmWork.reset();
-    CHECK(admissibleFill(query) == Approx(1.0));
+    CHECK(admissibleUtilization(query) == Approx(1.0));
 }
 
 TEST_CASE("a returning caller is served late rather than never")
 {
     AdmissionQuery query = urgentRequest();
     query.lateDeadlineShare = 0.35;
-    CHECK(admissibleFill(query) > admissibleFill(urgentRequest()));
+    CHECK(admissibleUtilization(query) > admissibleUtilization(urgentRequest()));
     query.timeLeft = 100ms;
-    CHECK(admissibleFill(query) == Approx(admissibleFill(urgentRequest())));
+    CHECK(admissibleUtilization(query) == Approx(admissibleUtilization(urgentRequest())));
 }
