--- a/lib/Balance/Admission.cpp
+++ b/lib/Balance/Admission.cpp
@@ -29,7 +29,7 @@
     }
     const double inTime = secondsOf(query.objectiveLeft) * (query.isUrgent ? ObjectivePart : LessUrgentObjectivePart);
     const double late = secondsOf(query.timeLeft) * query.lateDeadlineShare;
-    const double wait = std::max(inTime, late) - secondsOf(*query.warmWork) - secondsOf(query.way);
+    const double wait = std::max(inTime, late) - secondsOf(*query.warmWork) - secondsOf(query.extraLatency);
     return std::max(freeFill, 1 + wait / std::max(secondsOf(*query.work), LeastWork));
 }
 
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -119,7 +119,7 @@
     }
     query.objectiveLeft = open.route.objective - (m_now - open.arrivedAt);
     query.timeLeft = open.until - m_now;
-    query.way = isAbroad ? AbroadTime : Milliseconds(0);
+    query.extraLatency = isAbroad ? AbroadTime : Milliseconds(0);
     query.isUrgent = isMostUrgent(open.route);
     query.lateDeadlineShare = open.isReturning ? m_settings.policy.lateDeadlineShare : 0;
     return pepperlug::fleet::admissibleUtilization(query);
--- a/unittests/Balance/AdmissionTest.cpp
+++ b/unittests/Balance/AdmissionTest.cpp
@@ -32,7 +32,7 @@
 TEST_CASE("a way to another region leaves less time to wait")
 {
     AdmissionQuery query = urgentRequest();
-    query.way = 50ms;
+    query.extraLatency = 50ms;
     CHECK(admissibleUtilization(query) == Approx(1.5));
 }
 
