--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -115,7 +115,7 @@
     const auto stats = m_stats.find(open.route.name);
     if (stats != m_stats.end()) {
         query.work = stats->second.work();
-        query.warmWork = stats->second.warmWork();
+        query.warmServiceTime = stats->second.warmServiceTime();
     }
     query.objectiveLeft = open.route.objective - (m_now - open.arrivedAt);
     query.timeLeft = open.until - m_now;
--- a/lib/Balance/RouteStats.h
+++ b/lib/Balance/RouteStats.h
@@ -59,7 +59,7 @@
     }
 
     /// Time at a target that remembers the request's key; nothing while too little was seen.
-    std::optional<Duration> warmWork() const
+    std::optional<Duration> warmServiceTime() const
     {
         if (m_count < LeastSeen) {
             return std::nullopt;
--- a/unittests/Balance/AdmissionTest.cpp
+++ b/unittests/Balance/AdmissionTest.cpp
@@ -15,7 +15,7 @@
     AdmissionQuery it;
     it.objectiveLeft = 200ms;
     it.timeLeft = 1200ms;
-    it.warmWork = 80ms;
+    it.warmServiceTime = 80ms;
     it.work = 100ms;
     it.isUrgent = true;
     return it;
@@ -51,7 +51,7 @@
     query.objectiveLeft = -50ms;
     CHECK(admissibleUtilization(query) == Approx(1.0));
     query.work.reset();
-    query.warmWork.reset();
+    query.warmServiceTime.reset();
     CHECK(admissibleUtilization(query) == Approx(1.0));
 }
 
