--- a/lib/Balance/Admission.cpp
+++ b/lib/Balance/Admission.cpp
@@ -24,13 +24,13 @@
 double admissibleUtilization(const AdmissionQuery &query)
 {
     const double freeFill = query.isUrgent ? FreeFill : LessUrgentFreeFill;
-    if (!query.work || !query.warmServiceTime) {
+    if (!query.serviceTime || !query.warmServiceTime) {
         return FreeFill;
     }
     const double inTime = secondsOf(query.objectiveLeft) * (query.isUrgent ? ObjectivePart : LessUrgentObjectivePart);
     const double late = secondsOf(query.timeLeft) * query.lateDeadlineShare;
     const double wait = std::max(inTime, late) - secondsOf(*query.warmServiceTime) - secondsOf(query.extraLatency);
-    return std::max(freeFill, 1 + wait / std::max(secondsOf(*query.work), LeastWork));
+    return std::max(freeFill, 1 + wait / std::max(secondsOf(*query.serviceTime), LeastWork));
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Balance/Admission.h
+++ b/lib/Balance/Admission.h
@@ -18,7 +18,7 @@
     Duration timeLeft{}; ///< time in which its answer is of any use
     Duration extraLatency{}; ///< to the target and back, beyond what a target nearby takes
     std::optional<Duration> warmServiceTime; ///< at a target that remembers the key; nothing while too little was seen
-    std::optional<Duration> work; ///< mean
+    std::optional<Duration> serviceTime; ///< mean
     bool isUrgent = false; ///< no route of the service is more urgent
     double lateDeadlineShare = 0; ///< of the time left that the answer may be predicted to use even if it is late then
 };
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -163,7 +163,7 @@
     if (holdBack(open)) {
         return;
     }
-    const Duration work = m_stats[route->name].work().value_or(route->objective / 2);
+    const Duration work = m_stats[route->name].serviceTime().value_or(route->objective / 2);
     m_arrivals[open.service].add(m_now, std::chrono::duration<double>(work).count());
     m_askedBytes.add(m_now, m_stats[route->name].answerBytes() + HeadBytes);
     m_overflow[open.service].countRequest(m_now);
@@ -405,7 +405,7 @@
 
 bool Balancer::Impl::isSilent(const Attempt &attempt, const Route &route)
 {
-    const Duration work = m_stats[route.name].work().value_or(route.objective);
+    const Duration work = m_stats[route.name].serviceTime().value_or(route.objective);
     const Duration patience = std::max<Duration>(LeastHedge, work * HedgeInWork);
     const TargetState *target = m_targets.find(attempt.target);
     const bool isSuspect = target == nullptr || target->isSuspect(m_now, patience);
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -66,7 +66,7 @@
     query.excluded = open.tried;
     query.homeRegions = &open.route.homeRegions;
     query.region = region;
-    const Duration work = m_stats[open.route.name].work().value_or(open.route.objective);
+    const Duration work = m_stats[open.route.name].serviceTime().value_or(open.route.objective);
     query.patience = std::max<Duration>(LeastPatience, work * PatienceInWork);
     query.admissibleUtilization = admissibleUtilization(open, !region.empty() && region != m_region);
     Placement placement;
@@ -114,7 +114,7 @@
     AdmissionQuery query;
     const auto stats = m_stats.find(open.route.name);
     if (stats != m_stats.end()) {
-        query.work = stats->second.work();
+        query.serviceTime = stats->second.serviceTime();
         query.warmServiceTime = stats->second.warmServiceTime();
     }
     query.objectiveLeft = open.route.objective - (m_now - open.arrivedAt);
--- a/lib/Balance/RouteStats.h
+++ b/lib/Balance/RouteStats.h
@@ -68,7 +68,7 @@
     }
 
     /// Mean time; nothing while too little was seen.
-    std::optional<Duration> work() const
+    std::optional<Duration> serviceTime() const
     {
         if (m_count < LeastSeen) {
             return std::nullopt;
--- a/unittests/Balance/AdmissionTest.cpp
+++ b/unittests/Balance/AdmissionTest.cpp
@@ -16,7 +16,7 @@
     it.objectiveLeft = 200ms;
     it.timeLeft = 1200ms;
     it.warmServiceTime = 80ms;
-    it.work = 100ms;
+    it.serviceTime = 100ms;
     it.isUrgent = true;
     return it;
 }
@@ -50,7 +50,7 @@
     AdmissionQuery query = urgentRequest();
     query.objectiveLeft = -50ms;
     CHECK(admissibleUtilization(query) == Approx(1.0));
-    query.work.reset();
+    query.serviceTime.reset();
     query.warmServiceTime.reset();
     CHECK(admissibleUtilization(query) == Approx(1.0));
 }
