--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -343,7 +343,7 @@
     if (event.outcome == AttemptOutcome::Answered) {
         m_link.take(static_cast<double>(event.answerBytes) + HeadBytes - attempt.expectedBytes, m_now);
         m_stats[open.route.name].addAnswerBytes(event.answerBytes);
-        m_stats[open.route.name].add(m_now - attempt.startedAt, attempt.fill);
+        m_stats[open.route.name].addServiceTime(m_now - attempt.startedAt, attempt.fill);
         noteWork(open, m_now - attempt.startedAt);
         m_out->emplace_back(PassAnswer{open.request.id, event.attempt});
         if (!event.isFailure) {
--- a/lib/Balance/RouteStats.h
+++ b/lib/Balance/RouteStats.h
@@ -15,7 +15,7 @@
 {
 public:
     /// `fill`: requests over slots at the target when the attempt began; above 1 a part of the time was waiting.
-    void add(Duration took, double fill)
+    void addServiceTime(Duration took, double fill)
     {
         const double work = std::chrono::duration<double>(took).count() / std::max(1.0, fill);
         m_work = m_count == 0 ? work : m_work + (work - m_work) * Weight;
