--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -132,7 +132,7 @@
     if (m_settings.policy.lateDeadlineShare <= 0 || !open.request.deadline) {
         return false;
     }
-    const std::optional<Duration> whole = m_stats[open.route.name].wholeDeadline();
+    const std::optional<Duration> whole = m_stats[open.route.name].firstTryDeadline();
     return whole && *whole - *open.request.deadline >= leastRetryAfter(open.route);
 }
 
--- a/lib/Balance/RouteStats.h
+++ b/lib/Balance/RouteStats.h
@@ -40,7 +40,7 @@
     }
 
     /// Time that callers have who come for the first time; nothing while too little was seen.
-    std::optional<Duration> wholeDeadline() const
+    std::optional<Duration> firstTryDeadline() const
     {
         const std::size_t n = std::min<std::size_t>(m_deadlineCount, m_deadlines.size());
         if (n < LeastSeen) {
