--- a/lib/Balance/LinkBudget.h
+++ b/lib/Balance/LinkBudget.h
@@ -40,7 +40,7 @@
     /// time shuts out the next for a second.
     static constexpr std::chrono::duration<double> Burst{0.7};
 
-    BucketTerms m_terms;
+    BucketConfig m_terms;
     TokenBucket m_bytes;
 };
 
--- a/lib/Balance/TokenBucket.h
+++ b/lib/Balance/TokenBucket.h
@@ -10,7 +10,7 @@
 {
 
 /// How a bucket fills.
-struct BucketTerms {
+struct BucketConfig {
     double perSecond = 0;
     double depth = 0; ///< most that it holds
 };
@@ -25,7 +25,7 @@
     }
 
     /// Whether an amount may be used now; more than the depth, whenever the bucket is full.
-    bool has(double amount, const BucketTerms &terms, TimePoint now)
+    bool has(double amount, const BucketConfig &terms, TimePoint now)
     {
         refill(terms, now);
         return m_level >= std::min(amount, terms.depth);
@@ -39,13 +39,13 @@
     }
 
     /// Until has() is true, as of its last call.
-    Duration until(double amount, const BucketTerms &terms) const
+    Duration until(double amount, const BucketConfig &terms) const
     {
         const double missing = std::max(0.0, std::min(amount, terms.depth) - m_level);
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / terms.perSecond));
     }
 
-    void refill(const BucketTerms &terms, TimePoint now)
+    void refill(const BucketConfig &terms, TimePoint now)
     {
         const TimePoint filledAt = m_filledAt.value_or(now);
         const std::chrono::duration<double> passed = std::max(Duration(0), now - filledAt);
