--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -379,7 +379,8 @@
     }
     const BucketConfig share = shareOf(*target.limit, owners);
     const double wanted = query.isUrgent ? 1 : 2;
-    return target.bucket->has(wanted, share, now) ? std::nullopt : std::optional(target.bucket->until(wanted, share));
+    return target.bucket->has(wanted, share, now) ? std::nullopt
+                                                  : std::optional(target.bucket->timeUntil(wanted, share));
 }
 
 TargetState *TargetSet::find(const Incarnation &incarnation)
--- a/lib/Balance/TokenBucket.h
+++ b/lib/Balance/TokenBucket.h
@@ -39,7 +39,7 @@
     }
 
     /// Until has() is true, as of its last call.
-    Duration until(double amount, const BucketConfig &terms) const
+    Duration timeUntil(double amount, const BucketConfig &terms) const
     {
         const double missing = std::max(0.0, std::min(amount, terms.depth) - m_level);
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / terms.perSecond));
