--- a/lib/Balance/LimitShare.h
+++ b/lib/Balance/LimitShare.h
@@ -15,7 +15,7 @@
 
 /// Owners of the smallest limit, and further ones by what the limit allows in a time.
 constexpr std::size_t MinOwners = 2;
-constexpr std::chrono::duration<double> OwnersTime{2};
+constexpr std::chrono::duration<double> ExtraOwnersTime{2};
 /// Requests that all owners together may have saved up, and further ones by what the limit allows in a time.
 constexpr double LeastSaved = 3;
 constexpr std::chrono::duration<double> SavedTime{2};
@@ -23,7 +23,7 @@
 /// Entry hosts that share a limit, of so many.
 inline std::size_t ownersOf(double perSecond, std::size_t hosts)
 {
-    const double further = std::min(perSecond * OwnersTime.count(), static_cast<double>(hosts));
+    const double further = std::min(perSecond * ExtraOwnersTime.count(), static_cast<double>(hosts));
     return std::clamp<std::size_t>(MinOwners + static_cast<std::size_t>(further), 1, std::max<std::size_t>(1, hosts));
 }
 
