--- a/lib/Balance/LimitShare.h
+++ b/lib/Balance/LimitShare.h
@@ -18,7 +18,7 @@
 constexpr std::chrono::duration<double> ExtraOwnersTime{2};
 /// Requests that all owners together may have saved up, and further ones by what the limit allows in a time.
 constexpr double MinBurst = 3;
-constexpr std::chrono::duration<double> SavedTime{2};
+constexpr std::chrono::duration<double> ExtraBurstTime{2};
 
 /// Entry hosts that share a limit, of so many.
 inline std::size_t ownersOf(double perSecond, std::size_t hosts)
@@ -31,7 +31,7 @@
 inline BucketConfig shareOf(double perSecond, std::size_t owners)
 {
     const auto count = static_cast<double>(owners);
-    return {perSecond / count, std::max(1.0, (MinBurst + perSecond * SavedTime.count()) / count)};
+    return {perSecond / count, std::max(1.0, (MinBurst + perSecond * ExtraBurstTime.count()) / count)};
 }
 
 } // namespace pepperlug::fleet
