--- a/lib/Balance/LimitShare.h
+++ b/lib/Balance/LimitShare.h
@@ -21,7 +21,7 @@
 constexpr std::chrono::duration<double> ExtraBurstTime{2};
 
 /// Entry hosts that share a limit, of so many.
-inline std::size_t ownersOf(double perSecond, std::size_t hosts)
+inline std::size_t ownerCount(double perSecond, std::size_t hosts)
 {
     const double further = std::min(perSecond * ExtraOwnersTime.count(), static_cast<double>(hosts));
     return std::clamp<std::size_t>(MinOwners + static_cast<std::size_t>(further), 1, std::max<std::size_t>(1, hosts));
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -368,7 +368,7 @@
         return std::nullopt;
     }
     const std::size_t hosts = m_entryHosts.size() + (m_entryHosts.contains(m_settings.host) ? 0 : 1);
-    const std::size_t owners = ownersOf(*target.limit, hosts);
+    const std::size_t owners = ownerCount(*target.limit, hosts);
     if (limitRank(target) >= owners) {
         // An owner may have room; how soon is not known here.
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / *target.limit));
