--- a/lib/Balance/LimitShare.h
+++ b/lib/Balance/LimitShare.h
@@ -28,7 +28,7 @@
 }
 
 /// The part of one of so many owners, in requests.
-inline BucketConfig shareOf(double perSecond, std::size_t owners)
+inline BucketConfig ownerShare(double perSecond, std::size_t owners)
 {
     const auto count = static_cast<double>(owners);
     return {perSecond / count, std::max(1.0, (MinBurst + perSecond * ExtraBurstTime.count()) / count)};
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -377,7 +377,7 @@
         // With a part of one request, so that owners that hear of a limit at once do not all send at once.
         target.bucket.emplace(unitInterval(hash64(target.report.id, m_settings.seed)));
     }
-    const BucketConfig share = shareOf(*target.limit, owners);
+    const BucketConfig share = ownerShare(*target.limit, owners);
     const double wanted = query.isUrgent ? 1 : 2;
     return target.bucket->has(wanted, share, now) ? std::nullopt
                                                   : std::optional(target.bucket->timeUntil(wanted, share));
