--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -212,7 +212,7 @@
             }
         }
         const auto [plan, isNew] = m_plans.try_emplace(service.name, step);
-        plan->second.follow(plannedShares(m_region, capacity, demand), capacity, m_now);
+        plan->second.moveTowards(plannedShares(m_region, capacity, demand), capacity, m_now);
     }
 }
 
--- a/lib/Balance/RegionPlan.cpp
+++ b/lib/Balance/RegionPlan.cpp
@@ -83,7 +83,7 @@
 {
 }
 
-void RegionPlan::follow(const RegionShares &planned, const std::map<std::string, double> &capacity, TimePoint now)
+void RegionPlan::moveTowards(const RegionShares &planned, const std::map<std::string, double> &capacity, TimePoint now)
 {
     if (planned.empty()) {
         return;
--- a/lib/Balance/RegionPlan.h
+++ b/lib/Balance/RegionPlan.h
@@ -27,7 +27,7 @@
     /// `maxStep`: part of the requests that may move to other regions in a second.
     explicit RegionPlan(double maxStep);
 
-    void follow(const RegionShares &planned, const std::map<std::string, double> &capacity, TimePoint now);
+    void moveTowards(const RegionShares &planned, const std::map<std::string, double> &capacity, TimePoint now);
     /// Region for a point in [0, 1); empty while there is no plan.
     std::string pick(double point) const;
     /// Region for a key, by weighted rendezvous hashing: where a share grows keys come, and no others move.
--- a/unittests/Balance/RegionPlanTest.cpp
+++ b/unittests/Balance/RegionPlanTest.cpp
@@ -38,12 +38,12 @@
 {
     RegionPlan plan(0.05);
     const std::map<std::string, double> both{{"a", 10}, {"b", 10}};
-    plan.follow({{"a", 1}}, both, Start);
-    plan.follow({{"a", 0}, {"b", 1}}, both, Start + 1s);
+    plan.moveTowards({{"a", 1}}, both, Start);
+    plan.moveTowards({{"a", 0}, {"b", 1}}, both, Start + 1s);
     CHECK(plan.shares().at("b") == Approx(0.05));
-    plan.follow({{"a", 0}, {"b", 1}}, both, Start + 3s);
+    plan.moveTowards({{"a", 0}, {"b", 1}}, both, Start + 3s);
     CHECK(plan.shares().at("b") == Approx(0.15));
-    plan.follow({{"b", 1}}, {{"b", 10}}, Start + 4s);
+    plan.moveTowards({{"b", 1}}, {{"b", 10}}, Start + 4s);
     CHECK(plan.pick(0.5) == "b");
     CHECK(plan.pick(0.01) == "b");
 }
@@ -53,9 +53,9 @@
     constexpr std::uint64_t Keys = 2000;
     const std::map<std::string, double> all{{"a", 10}, {"b", 10}, {"c", 10}};
     RegionPlan before(1);
-    before.follow({{"a", 0.5}, {"b", 0.3}, {"c", 0.2}}, all, Start);
+    before.moveTowards({{"a", 0.5}, {"b", 0.3}, {"c", 0.2}}, all, Start);
     RegionPlan after(1);
-    after.follow({{"a", 0.6}, {"b", 0.24}, {"c", 0.16}}, all, Start);
+    after.moveTowards({{"a", 0.6}, {"b", 0.24}, {"c", 0.16}}, all, Start);
     std::map<std::string, int> counts;
     int moved = 0;
     for (std::uint64_t key = 0; key < Keys; ++key) {
@@ -74,7 +74,7 @@
 TEST_CASE("a region without a share gets no key")
 {
     RegionPlan plan(1);
-    plan.follow({{"a", 1}, {"b", 0}}, {{"a", 10}, {"b", 10}}, Start);
+    plan.moveTowards({{"a", 1}, {"b", 0}}, {{"a", 10}, {"b", 10}}, Start);
     for (std::uint64_t key = 0; key < 100; ++key) {
         CHECK(plan.pickFor(key) == "a");
     }
