--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -54,7 +54,8 @@
     // All requests of a key go to one region, so that no target of another has to learn it.
     const std::uint64_t key = open.affinity != 0 ? open.affinity : m_random();
     const RegionPlan &shares = plan->second;
-    const std::string region = m_settings.policy.hashesRegions ? shares.pickFor(key) : shares.pick(unitInterval(key));
+    const std::string region =
+        m_settings.policy.hashesRegions ? shares.pickFor(key) : shares.regionAt(unitInterval(key));
     return region.empty() ? m_region : region;
 }
 
--- a/lib/Balance/RegionPlan.cpp
+++ b/lib/Balance/RegionPlan.cpp
@@ -117,7 +117,7 @@
     m_shares = next;
 }
 
-std::string RegionPlan::pick(double point) const
+std::string RegionPlan::regionAt(double point) const
 {
     for (const auto &[region, share] : m_shares) {
         if (point < share) {
--- a/lib/Balance/RegionPlan.h
+++ b/lib/Balance/RegionPlan.h
@@ -29,7 +29,7 @@
 
     void moveTowards(const RegionShares &planned, const std::map<std::string, double> &capacity, TimePoint now);
     /// Region for a point in [0, 1); empty while there is no plan.
-    std::string pick(double point) const;
+    std::string regionAt(double point) const;
     /// Region for a key, by weighted rendezvous hashing: where a share grows keys come, and no others move.
     std::string pickFor(std::uint64_t key) const;
     const RegionShares &shares() const;
--- a/unittests/Balance/RegionPlanTest.cpp
+++ b/unittests/Balance/RegionPlanTest.cpp
@@ -44,8 +44,8 @@
     plan.moveTowards({{"a", 0}, {"b", 1}}, both, Start + 3s);
     CHECK(plan.shares().at("b") == Approx(0.15));
     plan.moveTowards({{"b", 1}}, {{"b", 10}}, Start + 4s);
-    CHECK(plan.pick(0.5) == "b");
-    CHECK(plan.pick(0.01) == "b");
+    CHECK(plan.regionAt(0.5) == "b");
+    CHECK(plan.regionAt(0.01) == "b");
 }
 
 TEST_CASE("keys follow the shares, and a share that grows moves no other key")
