--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -55,7 +55,7 @@
     const std::uint64_t key = open.affinity != 0 ? open.affinity : m_random();
     const RegionPlan &shares = plan->second;
     const std::string region =
-        m_settings.policy.hashesRegions ? shares.pickFor(key) : shares.regionAt(unitInterval(key));
+        m_settings.policy.hashesRegions ? shares.regionForKey(key) : shares.regionAt(unitInterval(key));
     return region.empty() ? m_region : region;
 }
 
--- a/lib/Balance/RegionPlan.cpp
+++ b/lib/Balance/RegionPlan.cpp
@@ -128,7 +128,7 @@
     return m_shares.empty() ? std::string() : m_shares.rbegin()->first;
 }
 
-std::string RegionPlan::pickFor(std::uint64_t key) const
+std::string RegionPlan::regionForKey(std::uint64_t key) const
 {
     std::string best;
     double bestRank = -1;
--- a/lib/Balance/RegionPlan.h
+++ b/lib/Balance/RegionPlan.h
@@ -31,7 +31,7 @@
     /// Region for a point in [0, 1); empty while there is no plan.
     std::string regionAt(double point) const;
     /// Region for a key, by weighted rendezvous hashing: where a share grows keys come, and no others move.
-    std::string pickFor(std::uint64_t key) const;
+    std::string regionForKey(std::uint64_t key) const;
     const RegionShares &shares() const;
 
 private:
--- a/unittests/Balance/RegionPlanTest.cpp
+++ b/unittests/Balance/RegionPlanTest.cpp
@@ -59,8 +59,8 @@
     std::map<std::string, int> counts;
     int moved = 0;
     for (std::uint64_t key = 0; key < Keys; ++key) {
-        const std::string from = before.pickFor(key);
-        const std::string to = after.pickFor(key);
+        const std::string from = before.regionForKey(key);
+        const std::string to = after.regionForKey(key);
         ++counts[from];
         moved += from != to ? 1 : 0;
         CHECK((from == to || to == "a"));
@@ -76,7 +76,7 @@
     RegionPlan plan(1);
     plan.moveTowards({{"a", 1}, {"b", 0}}, {{"a", 10}, {"b", 10}}, Start);
     for (std::uint64_t key = 0; key < 100; ++key) {
-        CHECK(plan.pickFor(key) == "a");
+        CHECK(plan.regionForKey(key) == "a");
     }
-    CHECK(RegionPlan(1).pickFor(1).empty());
+    CHECK(RegionPlan(1).regionForKey(1).empty());
 }
