--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -232,7 +232,7 @@
     if (open.route.name.empty()) {
         return StartRetryAfter;
     }
-    const Milliseconds least = leastRetryAfter(open.route);
+    const Milliseconds least = minRetryAfterFor(open.route);
     const Milliseconds drain = std::chrono::duration_cast<Milliseconds>(drainTime);
     Milliseconds base =
         m_settings.policy.derivesRetryAfterFromQueue ? std::clamp(drain, least, LongestRetryAfter) : least;
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -134,7 +134,7 @@
         return false;
     }
     const std::optional<Duration> whole = m_stats[open.route.name].firstTryDeadline();
-    return whole && *whole - *open.request.deadline >= leastRetryAfter(open.route);
+    return whole && *whole - *open.request.deadline >= minRetryAfterFor(open.route);
 }
 
 // Small answers are never held back: they are what the bound on large ones leaves room for.
--- a/lib/Balance/RetryAdvice.h
+++ b/lib/Balance/RetryAdvice.h
@@ -25,7 +25,7 @@
 constexpr Milliseconds StartRetryAfter{300};
 
 /// Shortest time that a refused caller of a route is told to wait.
-inline Milliseconds leastRetryAfter(const Route &route)
+inline Milliseconds minRetryAfterFor(const Route &route)
 {
     return std::clamp(route.objective / 3, ShortestRetryAfter, LongestRetryAfter);
 }
