--- a/lib/Balance/RetryAdvice.h
+++ b/lib/Balance/RetryAdvice.h
@@ -11,7 +11,7 @@
 // The bounds were set in the rounds on the first two sites and have not been measured apart since.
 
 /// Shortest time that any caller is told to wait.
-constexpr Milliseconds ShortestRetryAfter{80};
+constexpr Milliseconds MinRetryAfter{80};
 /// Longest time before chance is added; callers wait no longer than a third of the time they have left.
 constexpr Milliseconds LongestRetryAfter{400};
 /// Where the reason is this host's own, and another one has probably room: its link is full, or it stops. Callers take
@@ -27,7 +27,7 @@
 /// Shortest time that a refused caller of a route is told to wait.
 inline Milliseconds minRetryAfterFor(const Route &route)
 {
-    return std::clamp(route.objective / 3, ShortestRetryAfter, LongestRetryAfter);
+    return std::clamp(route.objective / 3, MinRetryAfter, LongestRetryAfter);
 }
 
 } // namespace pepperlug::fleet
