--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -234,8 +234,7 @@
     }
     const Milliseconds least = minRetryAfterFor(open.route);
     const Milliseconds drain = std::chrono::duration_cast<Milliseconds>(drainTime);
-    Milliseconds base =
-        m_settings.policy.derivesRetryAfterFromQueue ? std::clamp(drain, least, LongestRetryAfter) : least;
+    Milliseconds base = m_settings.policy.derivesRetryAfterFromQueue ? std::clamp(drain, least, MaxRetryAfter) : least;
     if (reason == Refusal::Backpressure) {
         base = std::clamp(drain, least, LongestBackpressureAdvice);
     }
--- a/lib/Balance/RetryAdvice.h
+++ b/lib/Balance/RetryAdvice.h
@@ -13,7 +13,7 @@
 /// Shortest time that any caller is told to wait.
 constexpr Milliseconds MinRetryAfter{80};
 /// Longest time before chance is added; callers wait no longer than a third of the time they have left.
-constexpr Milliseconds LongestRetryAfter{400};
+constexpr Milliseconds MaxRetryAfter{400};
 /// Where the reason is this host's own, and another one has probably room: its link is full, or it stops. Callers take
 /// another host for each try, so this is the way there and no wait. Measured by LinkLoadTest, 40 hosts whose links are
 /// half used: of 1,634 callers that meet a full one 982 are taken by the next host 20 ms later. When they were told to
@@ -27,7 +27,7 @@
 /// Shortest time that a refused caller of a route is told to wait.
 inline Milliseconds minRetryAfterFor(const Route &route)
 {
-    return std::clamp(route.objective / 3, MinRetryAfter, LongestRetryAfter);
+    return std::clamp(route.objective / 3, MinRetryAfter, MaxRetryAfter);
 }
 
 } // namespace pepperlug::fleet
