--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -236,7 +236,7 @@
     const Milliseconds drain = std::chrono::duration_cast<Milliseconds>(drainTime);
     Milliseconds base = m_settings.policy.derivesRetryAfterFromQueue ? std::clamp(drain, least, MaxRetryAfter) : least;
     if (reason == Refusal::Backpressure) {
-        base = std::clamp(drain, least, LongestBackpressureAdvice);
+        base = std::clamp(drain, least, MaxBackpressureRetryAfter);
     }
     if (reason == Refusal::OverQuota) {
         base = m_quotas.retryAfter(open.tenant);
--- a/lib/Balance/RetryAdvice.h
+++ b/lib/Balance/RetryAdvice.h
@@ -20,7 +20,7 @@
 /// wait a part of the objective as many were taken, 130 to 270 ms later with an objective of 400 ms.
 constexpr Milliseconds ElsewhereRetryAfter{20};
 /// Where targets asked for less: until one has room. Nobody is told to wait for longer than most callers have.
-constexpr Milliseconds LongestBackpressureAdvice{5000};
+constexpr Milliseconds MaxBackpressureRetryAfter{5000};
 /// Where no routing is known yet, so that no objective is.
 constexpr Milliseconds StartRetryAfter{300};
 
