--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -224,7 +224,7 @@
 Milliseconds Balancer::Impl::retryAfter(const OpenRequest &open, Refusal reason, Duration drainTime)
 {
     if (reason == Refusal::LinkFull) {
-        return ElsewhereRetryAfter;
+        return OtherHostRetryAfter;
     }
     if (reason == Refusal::Quarantined) {
         return timeToTrial(open);
--- a/lib/Balance/RetryAdvice.h
+++ b/lib/Balance/RetryAdvice.h
@@ -18,7 +18,7 @@
 /// another host for each try, so this is the way there and no wait. Measured by LinkLoadTest, 40 hosts whose links are
 /// half used: of 1,634 callers that meet a full one 982 are taken by the next host 20 ms later. When they were told to
 /// wait a part of the objective as many were taken, 130 to 270 ms later with an objective of 400 ms.
-constexpr Milliseconds ElsewhereRetryAfter{20};
+constexpr Milliseconds OtherHostRetryAfter{20};
 /// Where targets asked for less: until one has room. Nobody is told to wait for longer than most callers have.
 constexpr Milliseconds MaxBackpressureRetryAfter{5000};
 /// Where no routing is known yet, so that no objective is.
--- a/lib/Fleet/GatewayRequests.cpp
+++ b/lib/Fleet/GatewayRequests.cpp
@@ -56,7 +56,7 @@
 void GatewayDaemon::Impl::refuseStopping(OpenExchange &open)
 {
     m_events.decision("refused", {{"request", open.terms.requestId}, {"reason", nameOf(Refusal::Stopping)}});
-    open.exchange->respond(m_dialect.refusal({open.terms.requestId, Refusal::Stopping, ElsewhereRetryAfter}));
+    open.exchange->respond(m_dialect.refusal({open.terms.requestId, Refusal::Stopping, OtherHostRetryAfter}));
 }
 
 GatewayDaemon::Impl::OpenExchange *GatewayDaemon::Impl::findOpen(RequestId id)
