--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -230,7 +230,7 @@
         return timeToTrial(open);
     }
     if (open.route.name.empty()) {
-        return StartRetryAfter;
+        return NoRoutingRetryAfter;
     }
     const Milliseconds least = minRetryAfterFor(open.route);
     const Milliseconds drain = std::chrono::duration_cast<Milliseconds>(drainTime);
--- a/lib/Balance/RetryAdvice.h
+++ b/lib/Balance/RetryAdvice.h
@@ -22,7 +22,7 @@
 /// Where targets asked for less: until one has room. Nobody is told to wait for longer than most callers have.
 constexpr Milliseconds MaxBackpressureRetryAfter{5000};
 /// Where no routing is known yet, so that no objective is.
-constexpr Milliseconds StartRetryAfter{300};
+constexpr Milliseconds NoRoutingRetryAfter{300};
 
 /// Shortest time that a refused caller of a route is told to wait.
 inline Milliseconds minRetryAfterFor(const Route &route)
