--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -91,7 +91,7 @@
         if (it.report.startedAt > target.report.startedAt) {
             target = {}; // neither requests, load, failures nor cold time of the life before are its own
         }
-        target.doubtedSince.reset(); // whoever tells of it knows it, even by an older report
+        target.unconfirmedSince.reset(); // whoever tells of it knows it, even by an older report
         if (!isNew && it.report.sequence < target.report.sequence && it.report.presence != Presence::Gone) {
             continue;
         }
@@ -133,7 +133,7 @@
         const auto it = startOfKnown.find(id);
         const bool isKnown = it != startOfKnown.end() && it->second >= target.report.startedAt;
         if (!isKnown) {
-            target.doubtedSince = target.doubtedSince.value_or(now);
+            target.unconfirmedSince = target.unconfirmedSince.value_or(now);
         }
     }
 }
@@ -164,7 +164,7 @@
 
 bool TargetSet::isUsable(const TargetState &target, TimePoint now) const
 {
-    if (target.doubtedSince && now - *target.doubtedSince > DoubtTime) {
+    if (target.unconfirmedSince && now - *target.unconfirmedSince > DoubtTime) {
         return false;
     }
     return takesWork(target) && !target.isSilent && !target.isRetired;
@@ -504,7 +504,7 @@
         target.report = it;
         target.region = regionOf(it.zone);
         target.hash = hash64(it.id);
-        target.doubtedSince = now - (DoubtTime - RememberedTime);
+        target.unconfirmedSince = now - (DoubtTime - RememberedTime);
     }
 }
 
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -19,7 +19,7 @@
     std::string region;
     std::uint64_t hash = 0;
     bool isSilent = false;
-    std::optional<TimePoint> doubtedSince; ///< a control host that told all it knows did not know of it
+    std::optional<TimePoint> unconfirmedSince; ///< a control host that told all it knows did not know of it
     bool isRetired = false; ///< another incarnation answered at its address
     unsigned inFlight = 0; ///< of this host
     TimePoint coldUntil{};
