--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -96,14 +96,14 @@
             continue;
         }
         const TimePoint heardAt = now - it.age;
-        const bool isEvidence = !target.presumedCold || heardAt > *target.presumedCold;
+        const bool isEvidence = !target.presumedColdSince || heardAt > *target.presumedColdSince;
         target.report = it.report;
         target.region = regionOf(it.report.zone);
         target.hash = hash64(it.report.id);
         target.isSilent = it.isSilent;
         if (isEvidence) {
             setColdUntil(target, heardAt + it.report.coldLeft, now);
-            target.presumedCold.reset();
+            target.presumedColdSince.reset();
         }
         if (it.report.presence == Presence::Gone && target.inFlight == 0) {
             m_targets.erase(place);
@@ -150,7 +150,7 @@
         const bool isBack = m_evacuated.contains(target.report.zone) && !zones.contains(target.report.zone);
         const ServiceTraits *traits = m_table ? m_table->service(target.report.service) : nullptr;
         if (isBack && traits != nullptr) {
-            target.presumedCold = now;
+            target.presumedColdSince = now;
             setColdUntil(target, std::max(target.coldUntil, now + traits->coldTime), now);
         }
     }
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -23,7 +23,7 @@
     bool isRetired = false; ///< another incarnation answered at its address
     unsigned inFlight = 0; ///< of this host
     TimePoint coldUntil{};
-    std::optional<TimePoint> presumedCold; ///< an evacuation ended then; a later report decides
+    std::optional<TimePoint> presumedColdSince; ///< an evacuation ended then; a later report decides
     /// When the next request may go there while it is cold; nothing until one was considered.
     std::optional<TimePoint> coldTokenAt;
     std::optional<TargetLoad> load;
