--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -209,7 +209,7 @@
 void TargetSet::setColdUntil(TargetState &target, TimePoint until, TimePoint now)
 {
     if (!target.isCold(now)) {
-        target.coldTokenAt.reset();
+        target.nextColdRequestAt.reset();
     }
     target.coldUntil = until;
 }
@@ -224,12 +224,12 @@
     if (!isWarmer(target)) {
         return false;
     }
-    if (!target.coldTokenAt) {
+    if (!target.nextColdRequestAt) {
         const Duration interval = warmInterval(target).value_or(Duration(0));
         const double phase = unitInterval(hash64(target.report.id, m_settings.seed));
-        target.coldTokenAt = now + std::chrono::duration_cast<Duration>(interval * phase);
+        target.nextColdRequestAt = now + std::chrono::duration_cast<Duration>(interval * phase);
     }
-    return now >= *target.coldTokenAt;
+    return now >= *target.nextColdRequestAt;
 }
 
 TargetState *TargetSet::chooseAmong(std::vector<TargetState *> &candidates, const TargetQuery &query, TimePoint now)
@@ -406,7 +406,7 @@
     target.awaitingSince = target.awaitingSince.value_or(now);
     const std::optional<Duration> interval = target.isCold(now) ? warmInterval(target) : std::nullopt;
     if (interval) {
-        target.coldTokenAt = now + *interval;
+        target.nextColdRequestAt = now + *interval;
     }
     if (target.bucket) {
         target.bucket->take(1);
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -25,7 +25,7 @@
     TimePoint coldUntil{};
     std::optional<TimePoint> presumedColdSince; ///< an evacuation ended then; a later report decides
     /// When the next request may go there while it is cold; nothing until one was considered.
-    std::optional<TimePoint> coldTokenAt;
+    std::optional<TimePoint> nextColdRequestAt;
     std::optional<TargetLoad> load;
     unsigned inFlightAtLoad = 0;
     TimePoint loadAt{};
