--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -56,7 +56,7 @@
 
 bool TargetState::isResting(TimePoint now) const
 {
-    return now < restUntil;
+    return now < backoffUntil;
 }
 
 bool TargetState::isCold(TimePoint now) const
@@ -301,9 +301,10 @@
     const std::chrono::duration<double> spread =
         std::min<std::chrono::duration<double>>(asked * ReturnPart, LongestReturn);
     const double place = unitInterval(hash64(incarnation.id, m_settings.seed));
-    target->restUntil = std::max(target->restUntil, now + std::chrono::duration_cast<Duration>(asked + spread * place));
+    target->backoffUntil =
+        std::max(target->backoffUntil, now + std::chrono::duration_cast<Duration>(asked + spread * place));
     target->hasRested = true;
-    return target->restUntil - now;
+    return target->backoffUntil - now;
 }
 
 // Nothing if the target asks for nothing that forbids a request now. After a rest it gets one at a time until it has
@@ -311,7 +312,7 @@
 std::optional<Duration> TargetSet::untilRoom(TargetState &target, const TargetQuery &query, TimePoint now) const
 {
     if (target.isResting(now)) {
-        return target.restUntil - now;
+        return target.backoffUntil - now;
     }
     if (target.hasRested && target.inFlight > 0) {
         return FirstAfterRest;
