--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -303,7 +303,7 @@
     const double place = unitInterval(hash64(incarnation.id, m_settings.seed));
     target->backoffUntil =
         std::max(target->backoffUntil, now + std::chrono::duration_cast<Duration>(asked + spread * place));
-    target->hasRested = true;
+    target->isRecovering = true;
     return target->backoffUntil - now;
 }
 
@@ -314,7 +314,7 @@
     if (target.isResting(now)) {
         return target.backoffUntil - now;
     }
-    if (target.hasRested && target.inFlight > 0) {
+    if (target.isRecovering && target.inFlight > 0) {
         return FirstAfterRest;
     }
     return untilLimitAllows(target, query, now);
@@ -441,7 +441,7 @@
     switch (outcome) {
     case AttemptOutcome::Answered:
     case AttemptOutcome::Shed:
-        target->hasRested &= outcome == AttemptOutcome::Shed;
+        target->isRecovering &= outcome == AttemptOutcome::Shed;
         target->failures = 0;
         target->awaitingSince = target->inFlight > 0 ? std::optional(now) : std::nullopt;
         return;
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -34,7 +34,7 @@
     TimePoint blockedUntil{};
     bool isLeaving = false; ///< it said so in an answer
     TimePoint backoffUntil{}; ///< this host sends it nothing until then
-    bool hasRested = false; ///< and has not run a request of this host since
+    bool isRecovering = false; ///< and has not run a request of this host since
     std::optional<double> limit; ///< requests a second that it takes from all hosts together
     /// Requests of this host's part of the limit; nothing until one was considered.
     std::optional<TokenBucket> bucket;
