--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -80,7 +80,7 @@
         placement.untilRoom = choice.untilRoom.value_or(Duration(0));
         return placement;
     }
-    placement.fill = (placement.target->believedRequests(m_now) + 1) / placement.target->slots();
+    placement.fill = (placement.target->estimatedRequests(m_now) + 1) / placement.target->slots();
     return placement;
 }
 
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -43,7 +43,7 @@
 
 // The told load holds this host's own requests of then; the others are taken to fade towards nothing, so that a target
 // that was full is tried again soon.
-double TargetState::believedRequests(TimePoint now) const
+double TargetState::estimatedRequests(TimePoint now) const
 {
     if (!load) {
         return inFlight;
@@ -235,7 +235,7 @@
 TargetState *TargetSet::chooseAmong(std::vector<TargetState *> &candidates, const TargetQuery &query, TimePoint now)
 {
     const auto fill = [now](const TargetState *it) {
-        return (it->believedRequests(now) + 1) / it->slots();
+        return (it->estimatedRequests(now) + 1) / it->slots();
     };
     const auto isEmptier = [&](const TargetState *lhs, const TargetState *rhs) {
         return fill(lhs) < fill(rhs);
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -42,7 +42,7 @@
     std::uint64_t rankedAt = 0; ///< version of the entry hosts as of the rank; 0: not ranked yet
 
     /// Requests there, of all hosts, as believed.
-    double believedRequests(TimePoint now) const;
+    double estimatedRequests(TimePoint now) const;
     double slots() const;
     bool isCold(TimePoint now) const;
     bool isResting(TimePoint now) const;
