--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -154,7 +154,7 @@
     const OpenRequest &open = it->second;
     const auto started = open.attempts.find(attempt);
     const TargetState *target = started == open.attempts.end() ? nullptr : m_targets.find(started->second.target);
-    if (target == nullptr || !m_targets.takesWork(*target) || target->isResting(m_now)) {
+    if (target == nullptr || !m_targets.takesWork(*target) || target->isBackingOff(m_now)) {
         return false;
     }
     const bool isBeyondLimit = target->limit && !started->second.isPaced;
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -54,7 +54,7 @@
     return inFlight + others * std::exp2(-halves);
 }
 
-bool TargetState::isResting(TimePoint now) const
+bool TargetState::isBackingOff(TimePoint now) const
 {
     return now < backoffUntil;
 }
@@ -311,7 +311,7 @@
 // run one.
 std::optional<Duration> TargetSet::untilRoom(TargetState &target, const TargetQuery &query, TimePoint now) const
 {
-    if (target.isResting(now)) {
+    if (target.isBackingOff(now)) {
         return target.backoffUntil - now;
     }
     if (target.isRecovering && target.inFlight > 0) {
@@ -485,7 +485,7 @@
 {
     std::map<std::string, double> slots;
     for (const auto &[id, target] : m_targets) {
-        if (target.report.service != service || !isUsable(target, now) || target.isResting(now)) {
+        if (target.report.service != service || !isUsable(target, now) || target.isBackingOff(now)) {
             continue;
         }
         const bool isLimited = target.limit && work;
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -45,7 +45,7 @@
     double estimatedRequests(TimePoint now) const;
     double slots() const;
     bool isCold(TimePoint now) const;
-    bool isResting(TimePoint now) const;
+    bool isBackingOff(TimePoint now) const;
     /// Whether it has kept this host waiting for so long without any answer that it may have stopped.
     bool isSuspect(TimePoint now, Duration patience) const;
 };
