--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -407,8 +407,8 @@
     const Duration work = m_stats[route.name].serviceTime().value_or(route.objective);
     const Duration patience = std::max<Duration>(LeastHedge, work * HedgeInWork);
     const TargetState *target = m_targets.find(attempt.target);
-    const bool isSuspect = target == nullptr || target->isSuspect(m_now, patience);
-    return isSuspect && m_now - attempt.startedAt >= patience;
+    const bool isUnresponsive = target == nullptr || target->isUnresponsive(m_now, patience);
+    return isUnresponsive && m_now - attempt.startedAt >= patience;
 }
 
 void Balancer::Impl::hedgeSilent()
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -64,7 +64,7 @@
     return now < coldUntil;
 }
 
-bool TargetState::isSuspect(TimePoint now, Duration patience) const
+bool TargetState::isUnresponsive(TimePoint now, Duration patience) const
 {
     return awaitingSince && now - *awaitingSince > patience;
 }
@@ -276,7 +276,7 @@
             soonest = std::min(soonest.value_or(*wait), *wait);
             continue;
         }
-        const bool isDoubtful = now < target.blockedUntil || target.isSuspect(now, query.patience);
+        const bool isDoubtful = now < target.blockedUntil || target.isUnresponsive(now, query.patience);
         (isDoubtful ? blocked : open).push_back(&target);
     }
     if (!open.empty()) {
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -47,7 +47,7 @@
     bool isCold(TimePoint now) const;
     bool isBackingOff(TimePoint now) const;
     /// Whether it has kept this host waiting for so long without any answer that it may have stopped.
-    bool isSuspect(TimePoint now, Duration patience) const;
+    bool isUnresponsive(TimePoint now, Duration patience) const;
 };
 
 /// What a request needs of a target.
