--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -405,10 +405,10 @@
 bool Balancer::Impl::isSilent(const Attempt &attempt, const Route &route)
 {
     const Duration work = m_stats[route.name].serviceTime().value_or(route.objective);
-    const Duration patience = std::max<Duration>(LeastHedge, work * HedgeInWork);
+    const Duration responseTimeout = std::max<Duration>(LeastHedge, work * HedgeInWork);
     const TargetState *target = m_targets.find(attempt.target);
-    const bool isUnresponsive = target == nullptr || target->isUnresponsive(m_now, patience);
-    return isUnresponsive && m_now - attempt.startedAt >= patience;
+    const bool isUnresponsive = target == nullptr || target->isUnresponsive(m_now, responseTimeout);
+    return isUnresponsive && m_now - attempt.startedAt >= responseTimeout;
 }
 
 void Balancer::Impl::hedgeSilent()
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -68,7 +68,7 @@
     query.homeRegions = &open.route.homeRegions;
     query.region = region;
     const Duration work = m_stats[open.route.name].serviceTime().value_or(open.route.objective);
-    query.patience = std::max<Duration>(LeastPatience, work * PatienceInWork);
+    query.responseTimeout = std::max<Duration>(LeastPatience, work * PatienceInWork);
     query.admissibleUtilization = admissibleUtilization(open, !region.empty() && region != m_region);
     Placement placement;
     placement.admissibleUtilization = query.admissibleUtilization;
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -64,9 +64,9 @@
     return now < coldUntil;
 }
 
-bool TargetState::isUnresponsive(TimePoint now, Duration patience) const
+bool TargetState::isUnresponsive(TimePoint now, Duration responseTimeout) const
 {
-    return awaitingSince && now - *awaitingSince > patience;
+    return awaitingSince && now - *awaitingSince > responseTimeout;
 }
 
 TargetSet::TargetSet(const BalanceSettings &settings)
@@ -276,7 +276,7 @@
             soonest = std::min(soonest.value_or(*wait), *wait);
             continue;
         }
-        const bool isDoubtful = now < target.blockedUntil || target.isUnresponsive(now, query.patience);
+        const bool isDoubtful = now < target.blockedUntil || target.isUnresponsive(now, query.responseTimeout);
         (isDoubtful ? blocked : open).push_back(&target);
     }
     if (!open.empty()) {
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -47,7 +47,7 @@
     bool isCold(TimePoint now) const;
     bool isBackingOff(TimePoint now) const;
     /// Whether it has kept this host waiting for so long without any answer that it may have stopped.
-    bool isUnresponsive(TimePoint now, Duration patience) const;
+    bool isUnresponsive(TimePoint now, Duration responseTimeout) const;
 };
 
 /// What a request needs of a target.
@@ -57,7 +57,7 @@
     std::set<std::string> excluded;
     const std::vector<std::string> *homeRegions = nullptr; ///< null or empty: any
     std::string region; ///< empty: any
-    Duration patience{}; ///< silence after which a target with requests is not trusted
+    Duration responseTimeout{}; ///< silence after which a target with requests is not trusted
     double admissibleUtilization =
         1; ///< requests over slots, this one included, up to which it would be answered in time
     bool isUrgent = false; ///< no route of the service is more urgent
