--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -176,7 +176,7 @@
     if (placement.target == nullptr) {
         const double excess = std::max(0.0, placement.fill - placement.admissibleUtilization);
         const Duration drainTime = std::chrono::duration_cast<Duration>(work * excess);
-        refuse(open, placement.refusal, std::max(drainTime, placement.untilRoom));
+        refuse(open, placement.refusal, std::max(drainTime, placement.untilCapacity));
         return;
     }
     if (!isWithinQuota(open)) {
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -83,7 +83,7 @@
         double fill = 0;
         Refusal refusal{};
         double admissibleUtilization = 1;
-        Duration untilRoom{}; ///< Refusal::Backpressure: until a target takes one more
+        Duration untilCapacity{}; ///< Refusal::Backpressure: until a target takes one more
     };
 
     // Balancer.cpp
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -76,8 +76,8 @@
     const TargetChoice choice = m_targets.choose(query, m_now);
     placement.target = choice.target;
     if (placement.target == nullptr) {
-        placement.refusal = choice.untilRoom ? Refusal::Backpressure : Refusal::NoTarget;
-        placement.untilRoom = choice.untilRoom.value_or(Duration(0));
+        placement.refusal = choice.untilCapacity ? Refusal::Backpressure : Refusal::NoTarget;
+        placement.untilCapacity = choice.untilCapacity.value_or(Duration(0));
         return placement;
     }
     placement.fill = (placement.target->estimatedRequests(m_now) + 1) / placement.target->slots();
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -272,7 +272,7 @@
         if (!fits || !isUsable(target, now) || (target.isCold(now) && !mayWarm(target, now))) {
             continue;
         }
-        if (const std::optional<Duration> wait = untilRoom(target, query, now)) {
+        if (const std::optional<Duration> wait = untilCapacity(target, query, now)) {
             soonest = std::min(soonest.value_or(*wait), *wait);
             continue;
         }
@@ -309,7 +309,7 @@
 
 // Nothing if the target asks for nothing that forbids a request now. After a rest it gets one at a time until it has
 // run one.
-std::optional<Duration> TargetSet::untilRoom(TargetState &target, const TargetQuery &query, TimePoint now) const
+std::optional<Duration> TargetSet::untilCapacity(TargetState &target, const TargetQuery &query, TimePoint now) const
 {
     if (target.isBackingOff(now)) {
         return target.backoffUntil - now;
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -67,7 +67,7 @@
 struct TargetChoice {
     TargetState *target = nullptr; ///< null if there is none
     /// With no target: until one has room that was left out for what it asks for alone; nothing if none was.
-    std::optional<Duration> untilRoom;
+    std::optional<Duration> untilCapacity;
 };
 
 class TargetSet
@@ -128,7 +128,7 @@
     static void setColdUntil(TargetState &target, TimePoint until, TimePoint now);
     bool mayWarm(TargetState &target, TimePoint now) const;
     std::size_t limitRank(TargetState &target) const;
-    std::optional<Duration> untilRoom(TargetState &target, const TargetQuery &query, TimePoint now) const;
+    std::optional<Duration> untilCapacity(TargetState &target, const TargetQuery &query, TimePoint now) const;
     std::optional<Duration> untilLimitAllows(TargetState &target, const TargetQuery &query, TimePoint now) const;
     std::size_t warmers(const TargetState &target) const;
     bool isWarmer(const TargetState &target) const;
