--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -130,7 +130,7 @@
         m_targets.setDemand(event.demand);
     }
     if (event.isSnapshot) {
-        m_targets.doubtOthers(event.changes, m_now);
+        m_targets.markOthersUnconfirmed(event.changes, m_now);
     }
     followBackpressure();
     followPlans();
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -123,7 +123,7 @@
 
 // A control host that has just started knows nobody. Whoever lives reports to one soon; whoever ended while no control
 // host was there to notice it is never heard of again, so nobody would say that it is gone.
-void TargetSet::doubtOthers(const RegistryChanges &known, TimePoint now)
+void TargetSet::markOthersUnconfirmed(const RegistryChanges &known, TimePoint now)
 {
     std::unordered_map<std::string_view, Milliseconds> startOfKnown;
     for (const AgedReport<TargetReport> &it : known.targets) {
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -77,7 +77,7 @@
 
     void apply(const RegistryChanges &changes, TimePoint now);
     /// Doubts all targets that are not among what a control host knows; they are left out unless one reports them soon.
-    void doubtOthers(const RegistryChanges &known, TimePoint now);
+    void markOthersUnconfirmed(const RegistryChanges &known, TimePoint now);
     /// Takes targets that are not known otherwise; they are left out unless one reports them soon.
     void remember(const std::vector<TargetReport> &targets, TimePoint now);
     void setDemand(std::vector<RegionDemand> demand);
