--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -125,7 +125,7 @@
 {
     m_targets.apply(event.changes, m_now);
     m_quotas.setEntryHosts(m_targets.entryHosts());
-    m_targets.remember(event.restored, m_now);
+    m_targets.addRestored(event.restored, m_now);
     if (!event.demand.empty()) {
         m_targets.setDemand(event.demand);
     }
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -494,7 +494,7 @@
     return slots;
 }
 
-void TargetSet::remember(const std::vector<TargetReport> &targets, TimePoint now)
+void TargetSet::addRestored(const std::vector<TargetReport> &targets, TimePoint now)
 {
     for (const TargetReport &it : targets) {
         const auto [place, isNew] = m_targets.try_emplace(it.id);
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -79,7 +79,7 @@
     /// Doubts all targets that are not among what a control host knows; they are left out unless one reports them soon.
     void markOthersUnconfirmed(const RegistryChanges &known, TimePoint now);
     /// Takes targets that are not known otherwise; they are left out unless one reports them soon.
-    void remember(const std::vector<TargetReport> &targets, TimePoint now);
+    void addRestored(const std::vector<TargetReport> &targets, TimePoint now);
     void setDemand(std::vector<RegionDemand> demand);
     void setTable(std::shared_ptr<const RouteTable> table);
     void setEvacuatedZones(const std::set<std::string> &zones, TimePoint now);
