--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -41,7 +41,7 @@
     if (unchecked.empty() || !event.isConnectionRefused) {
         return;
     }
-    m_targets.noteUnreachable(event.target, m_now);
+    m_targets.markUnreachable(event.target, m_now);
     for (const std::string &digest : unchecked.mapped()) {
         if (m_quarantine.noteEnd(digest, event.target, m_now)) {
             tellChange(digest, event.target.id, true);
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -451,7 +451,7 @@
     case AttemptOutcome::Withdrawn:
         return; // the target had no part in it
     case AttemptOutcome::NotSent:
-        noteUnreachable(incarnation, now);
+        markUnreachable(incarnation, now);
         return;
     case AttemptOutcome::Lost:
     case AttemptOutcome::TimedOut:
@@ -461,7 +461,7 @@
     }
 }
 
-void TargetSet::noteUnreachable(const Incarnation &incarnation, TimePoint now)
+void TargetSet::markUnreachable(const Incarnation &incarnation, TimePoint now)
 {
     TargetState *target = find(incarnation);
     if (target == nullptr) {
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -100,7 +100,7 @@
                       TimePoint now);
     void attemptCancelled(const Incarnation &incarnation);
     /// No connection to it could be made.
-    void noteUnreachable(const Incarnation &incarnation, TimePoint now);
+    void markUnreachable(const Incarnation &incarnation, TimePoint now);
 
     /// A target wants nothing from this host for a while. Returns for how long it gets nothing.
     Duration startRest(const Incarnation &incarnation, std::chrono::duration<double> rest, TimePoint now);
