--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -15,7 +15,7 @@
 void Balancer::Impl::on(const TargetSignalled &event)
 {
     if (event.signal.rest) {
-        const Duration length = m_targets.startRest(event.target, *event.signal.rest, m_now);
+        const Duration length = m_targets.startBackoff(event.target, *event.signal.rest, m_now);
         m_out->emplace_back(BackoffStarted{event.target.id, std::chrono::duration_cast<Milliseconds>(length)});
     }
     const std::optional<double> before = m_backpressure.limitOf(event.target);
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -291,7 +291,7 @@
 }
 
 // Extends a rest that has begun, and never shortens it.
-Duration TargetSet::startRest(const Incarnation &incarnation, std::chrono::duration<double> rest, TimePoint now)
+Duration TargetSet::startBackoff(const Incarnation &incarnation, std::chrono::duration<double> rest, TimePoint now)
 {
     TargetState *target = find(incarnation);
     if (target == nullptr) {
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -103,7 +103,7 @@
     void markUnreachable(const Incarnation &incarnation, TimePoint now);
 
     /// A target wants nothing from this host for a while. Returns for how long it gets nothing.
-    Duration startRest(const Incarnation &incarnation, std::chrono::duration<double> rest, TimePoint now);
+    Duration startBackoff(const Incarnation &incarnation, std::chrono::duration<double> rest, TimePoint now);
     /// A target names a limit of requests a second, or none any more.
     void setLimit(const Incarnation &incarnation, std::optional<double> perSecond);
     /// A target says in its answers that it leaves.
