--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -334,7 +334,7 @@
     open.attempts.erase(ended);
     m_targets.attemptEnded(attempt.target, event.outcome, event.load, m_now);
     if (attempt.isPaced && (event.outcome == AttemptOutcome::NotSent || event.outcome == AttemptOutcome::Withdrawn)) {
-        m_targets.giveLimitBack(attempt.target);
+        m_targets.refundLimit(attempt.target);
     }
     if (isCertainlyNotRun(event.outcome)) {
         m_link.take(-attempt.expectedBytes, m_now);
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -340,7 +340,7 @@
     }
 }
 
-void TargetSet::giveLimitBack(const Incarnation &incarnation)
+void TargetSet::refundLimit(const Incarnation &incarnation)
 {
     TargetState *target = find(incarnation);
     if (target != nullptr && target->bucket) {
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -109,7 +109,7 @@
     /// A target says in its answers that it leaves.
     void setLeaving(const Incarnation &incarnation);
     /// A request that was taken from this host's part of a limit was not sent.
-    void giveLimitBack(const Incarnation &incarnation);
+    void refundLimit(const Incarnation &incarnation);
 
     /// Slots of usable targets by region. Of a limited target no more than its limit keeps busy, with requests that
     /// take `work` seconds each; nothing: that is not known.
