--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -195,7 +195,7 @@
     return warmsZone(self, target);
 }
 
-std::optional<Duration> TargetSet::warmInterval(const TargetState &target) const
+std::optional<Duration> TargetSet::coldRequestInterval(const TargetState &target) const
 {
     const ServiceTraits *traits = m_table ? m_table->service(target.report.service) : nullptr;
     if (traits == nullptr || traits->coldPerSecond <= 0) {
@@ -225,7 +225,7 @@
         return false;
     }
     if (!target.nextColdRequestAt) {
-        const Duration interval = warmInterval(target).value_or(Duration(0));
+        const Duration interval = coldRequestInterval(target).value_or(Duration(0));
         const double phase = unitInterval(hash64(target.report.id, m_settings.seed));
         target.nextColdRequestAt = now + std::chrono::duration_cast<Duration>(interval * phase);
     }
@@ -405,7 +405,7 @@
 {
     ++target.inFlight;
     target.awaitingSince = target.awaitingSince.value_or(now);
-    const std::optional<Duration> interval = target.isCold(now) ? warmInterval(target) : std::nullopt;
+    const std::optional<Duration> interval = target.isCold(now) ? coldRequestInterval(target) : std::nullopt;
     if (interval) {
         target.nextColdRequestAt = now + *interval;
     }
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -123,7 +123,7 @@
 private:
     bool isUsable(const TargetState &target, TimePoint now) const;
     /// Time between two requests of this host to a cold target; nothing if it bears any number.
-    std::optional<Duration> warmInterval(const TargetState &target) const;
+    std::optional<Duration> coldRequestInterval(const TargetState &target) const;
     static void blockAfterFailures(TargetState &target, TimePoint now);
     static void setColdUntil(TargetState &target, TimePoint until, TimePoint now);
     bool mayWarm(TargetState &target, TimePoint now) const;
