--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -219,7 +219,7 @@
 // moment of its own within the interval, or they would all send at once; with many hosts that alone is more than it
 // bears. The moment is drawn when it is first asked for: a host that has just started hears of targets before it knows
 // the routing and the other hosts, upon which the interval depends.
-bool TargetSet::mayWarm(TargetState &target, TimePoint now) const
+bool TargetSet::mayReceiveWhileCold(TargetState &target, TimePoint now) const
 {
     if (!isWarmer(target)) {
         return false;
@@ -269,7 +269,7 @@
         const bool fits = target.report.service == query.service
             && (query.homeRegions == nullptr || isHome(*query.homeRegions, target))
             && (query.region.empty() || query.region == target.region) && !query.excluded.contains(id);
-        if (!fits || !isUsable(target, now) || (target.isCold(now) && !mayWarm(target, now))) {
+        if (!fits || !isUsable(target, now) || (target.isCold(now) && !mayReceiveWhileCold(target, now))) {
             continue;
         }
         if (const std::optional<Duration> wait = untilCapacity(target, query, now)) {
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -126,7 +126,7 @@
     std::optional<Duration> coldRequestInterval(const TargetState &target) const;
     static void blockAfterFailures(TargetState &target, TimePoint now);
     static void setColdUntil(TargetState &target, TimePoint until, TimePoint now);
-    bool mayWarm(TargetState &target, TimePoint now) const;
+    bool mayReceiveWhileCold(TargetState &target, TimePoint now) const;
     std::size_t limitRank(TargetState &target) const;
     std::optional<Duration> untilCapacity(TargetState &target, const TargetQuery &query, TimePoint now) const;
     std::optional<Duration> untilLimitAllows(TargetState &target, const TargetQuery &query, TimePoint now) const;
