--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -182,7 +182,7 @@
     return !regionHasHost || regionOf(host.zone) == target.region;
 }
 
-std::size_t TargetSet::warmers(const TargetState &target) const
+std::size_t TargetSet::warmingHostCount(const TargetState &target) const
 {
     return static_cast<std::size_t>(std::count_if(m_entryHosts.begin(), m_entryHosts.end(),
                                                   [&](const auto &it) { return warmsZone(it.second, target); }));
@@ -202,7 +202,7 @@
         return std::nullopt;
     }
     const double rate =
-        traits->coldPerSecond * ColdMargin / static_cast<double>(std::max<std::size_t>(1, warmers(target)));
+        traits->coldPerSecond * ColdMargin / static_cast<double>(std::max<std::size_t>(1, warmingHostCount(target)));
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / rate));
 }
 
