--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -188,7 +188,7 @@
                                                   [&](const auto &it) { return warmsZone(it.second, target); }));
 }
 
-bool TargetSet::isWarmer(const TargetState &target) const
+bool TargetSet::isWarmingHost(const TargetState &target) const
 {
     HostReport self;
     self.zone = m_settings.zone;
@@ -221,7 +221,7 @@
 // the routing and the other hosts, upon which the interval depends.
 bool TargetSet::mayReceiveWhileCold(TargetState &target, TimePoint now) const
 {
-    if (!isWarmer(target)) {
+    if (!isWarmingHost(target)) {
         return false;
     }
     if (!target.nextColdRequestAt) {
