--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -170,7 +170,7 @@
     return takesWork(target) && !target.isSilent && !target.isRetired;
 }
 
-bool TargetSet::warmsZone(const HostReport &host, const TargetState &target) const
+bool TargetSet::warmsTarget(const HostReport &host, const TargetState &target) const
 {
     const bool zoneHasHost = std::any_of(m_entryHosts.begin(), m_entryHosts.end(),
                                          [&](const auto &it) { return it.second.zone == target.report.zone; });
@@ -185,14 +185,14 @@
 std::size_t TargetSet::warmingHostCount(const TargetState &target) const
 {
     return static_cast<std::size_t>(std::count_if(m_entryHosts.begin(), m_entryHosts.end(),
-                                                  [&](const auto &it) { return warmsZone(it.second, target); }));
+                                                  [&](const auto &it) { return warmsTarget(it.second, target); }));
 }
 
 bool TargetSet::isWarmingHost(const TargetState &target) const
 {
     HostReport self;
     self.zone = m_settings.zone;
-    return warmsZone(self, target);
+    return warmsTarget(self, target);
 }
 
 std::optional<Duration> TargetSet::coldRequestInterval(const TargetState &target) const
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -132,7 +132,7 @@
     std::optional<Duration> untilLimitAllows(TargetState &target, const TargetQuery &query, TimePoint now) const;
     std::size_t warmingHostCount(const TargetState &target) const;
     bool isWarmingHost(const TargetState &target) const;
-    bool warmsZone(const HostReport &host, const TargetState &target) const;
+    bool warmsTarget(const HostReport &host, const TargetState &target) const;
     TargetState *chooseAmong(std::vector<TargetState *> &candidates, const TargetQuery &query, TimePoint now);
 
     const BalanceSettings &m_settings;
