--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -8,11 +8,11 @@
 {
 
 /// Of the newest answer in the mean time that a service's requests take.
-constexpr double WorkWeight = 0.02;
+constexpr double ServiceTimeWeight = 0.02;
 
 } // namespace
 
-void Balancer::Impl::on(const TargetSignalled &event)
+void Balancer::Impl::handle(const TargetSignalled &event)
 {
     if (event.signal.rest) {
         const Duration length = m_targets.startBackoff(event.target, *event.signal.rest, m_now);
@@ -20,17 +20,17 @@
     }
     const std::optional<double> before = m_backpressure.limitOf(event.target);
     if (m_backpressure.hear(event.target, event.signal, event.sentAt, m_now)) {
-        tellBackpressure(event.target, true);
+        publishBackpressure(event.target, true);
     } else if (m_backpressure.limitOf(event.target) != before) {
         m_targets.setLimit(event.target, m_backpressure.limitOf(event.target));
     }
 }
 
-void Balancer::Impl::on(const BackpressureReceived &event)
+void Balancer::Impl::handle(const BackpressureReceived &event)
 {
     for (const BackpressureReport &it : event.reports) {
         if (m_backpressure.merge(it, false, m_now)) {
-            tellBackpressure(it.target, false);
+            publishBackpressure(it.target, false);
         }
     }
 }
@@ -43,7 +43,7 @@
     }
 }
 
-void Balancer::Impl::tellBackpressure(const Incarnation &target, bool isLocal)
+void Balancer::Impl::publishBackpressure(const Incarnation &target, bool isLocal)
 {
     applyBackpressure(target);
     m_out->emplace_back(
@@ -51,25 +51,25 @@
 }
 
 // What a target asks for may be known before the target is.
-void Balancer::Impl::followBackpressure()
+void Balancer::Impl::applyKnownBackpressure()
 {
     for (const BackpressureReport &it : m_backpressure.changedSince(0, NewsReader::EntryHost, m_now)) {
         applyBackpressure(it.target);
     }
 }
 
-void Balancer::Impl::forgetLimits()
+void Balancer::Impl::expireLimits()
 {
     for (const Incarnation &it : m_backpressure.forget(m_now)) {
-        tellBackpressure(it, false);
+        publishBackpressure(it, false);
     }
 }
 
 // What a limit of requests a second keeps busy of a target's slots depends on how long they take.
-void Balancer::Impl::noteWork(const OpenRequest &open, Duration took)
+void Balancer::Impl::recordServiceTime(const OpenRequest &open, Duration took)
 {
-    const auto [mean, isNew] = m_meanWork.try_emplace(open.service, secondsOf(took));
-    mean->second += (secondsOf(took) - mean->second) * WorkWeight;
+    const auto [mean, isNew] = m_meanServiceTime.try_emplace(open.service, secondsOf(took));
+    mean->second += (secondsOf(took) - mean->second) * ServiceTimeWeight;
 }
 
 const BackpressureTable &Balancer::Impl::backpressure() const
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -15,10 +15,10 @@
 {
 
 /// A first attempt at a silent target is doubled after this many work times.
-constexpr int HedgeInWork = 3;
-constexpr Milliseconds LeastHedge{500};
+constexpr int HedgeTimeoutFactor = 3;
+constexpr Milliseconds MinHedgeTimeout{500};
 /// Of an answer's head and the packets around it, about.
-constexpr double HeadBytes = 600;
+constexpr double AnswerHeadBytes = 600;
 
 } // namespace
 
@@ -106,22 +106,22 @@
 {
     m_now = std::max(m_now, now);
     m_out = &out;
-    std::visit([this](const auto &it) { on(it); }, event);
+    std::visit([this](const auto &it) { handle(it); }, event);
     m_out = nullptr;
 }
 
-void Balancer::Impl::on(const RoutesChanged &event)
+void Balancer::Impl::handle(const RoutesChanged &event)
 {
     m_table = event.table;
     m_routeIndex.emplace(m_table);
-    findUrgentPriorities();
+    updateUrgentPriorities();
     m_targets.setTable(m_table);
     m_targets.setEvacuatedZones(event.evacuatedZones, m_now);
-    m_planDue = {};
-    followPlans();
+    m_plansDueAt = {};
+    updatePlans();
 }
 
-void Balancer::Impl::on(const ReportsChanged &event)
+void Balancer::Impl::handle(const ReportsChanged &event)
 {
     m_targets.apply(event.changes, m_now);
     m_quotas.setEntryHosts(m_targets.entryHosts());
@@ -132,11 +132,11 @@
     if (event.isSnapshot) {
         m_targets.markOthersUnconfirmed(event.changes, m_now);
     }
-    followBackpressure();
-    followPlans();
+    applyKnownBackpressure();
+    updatePlans();
 }
 
-void Balancer::Impl::on(const CallerRequest &event)
+void Balancer::Impl::handle(const CallerRequest &event)
 {
     OpenRequest open;
     open.request = event;
@@ -150,36 +150,36 @@
         refuse(open, mayHaveMissedRoutes() ? Refusal::RoutingLate : Refusal::NoRoute);
         return;
     }
-    const Asker asker = askerOf(event, route);
-    if (!asker.isAllowed) {
+    const CallerIdentity caller = identifyCaller(event, route);
+    if (!caller.isAllowed) {
         refuse(open, mayHaveMissedRoutes() ? Refusal::RoutingLate : Refusal::UnknownKey);
         return;
     }
-    adopt(open, *route, asker);
+    assignRoute(open, *route, caller);
     if (m_isSuspended) {
         refuse(open, Refusal::RoutingLate);
         return;
     }
-    if (holdBack(open)) {
+    if (refuseOrProbe(open)) {
         return;
     }
-    const Duration work = m_stats[route->name].serviceTime().value_or(route->objective / 2);
-    m_arrivals[open.service].add(m_now, std::chrono::duration<double>(work).count());
-    m_askedBytes.add(m_now, m_stats[route->name].answerBytes() + HeadBytes);
-    m_overflow[open.service].countRequest(m_now);
+    const Duration serviceTime = m_stats[route->name].serviceTime().value_or(route->objective / 2);
+    m_arrivals[open.service].add(m_now, std::chrono::duration<double>(serviceTime).count());
+    m_requestedBytes.add(m_now, m_stats[route->name].answerBytes() + AnswerHeadBytes);
+    m_shiftAllowances[open.service].countRequest(m_now);
     m_budgets.at(open.service).countRequest(m_now);
-    open.isReturning = isReturning(open);
+    open.isCallerRetry = isCallerRetry(open);
     if (event.deadline) {
         m_stats[route->name].addDeadline(*event.deadline);
     }
     const Placement placement = place(open);
     if (placement.target == nullptr) {
-        const double excess = std::max(0.0, placement.fill - placement.admissibleUtilization);
-        const Duration drainTime = std::chrono::duration_cast<Duration>(work * excess);
+        const double excess = std::max(0.0, placement.utilization - placement.admissibleUtilization);
+        const Duration drainTime = std::chrono::duration_cast<Duration>(serviceTime * excess);
         refuse(open, placement.refusal, std::max(drainTime, placement.untilCapacity));
         return;
     }
-    if (!isWithinQuota(open)) {
+    if (!chargeQuota(open)) {
         refuse(open, Refusal::OverQuota);
         return;
     }
@@ -191,16 +191,16 @@
 {
     TargetState &target = *placement.target;
     m_targets.attemptStarted(target, m_now);
-    const unsigned number = ++open.started;
-    const double bytes = m_stats[open.route.name].answerBytes() + HeadBytes;
+    const unsigned number = ++open.attemptsStarted;
+    const double bytes = m_stats[open.route.name].answerBytes() + AnswerHeadBytes;
     m_link.take(bytes, m_now);
     open.attempts[number] = {{target.report.id, target.report.startedAt},
                              target.report.address,
                              m_now,
-                             placement.fill,
+                             placement.utilization,
                              bytes,
                              target.limit.has_value()};
-    open.tried.insert(target.report.id);
+    open.triedTargets.insert(target.report.id);
     open.lastTarget = target.report.id;
     StartAttempt effect;
     effect.id = open.request.id;
@@ -214,8 +214,8 @@
     effect.hasHomeRegions = !open.route.homeRegions.empty();
     effect.hasTenants = !m_table->tenants.empty();
     effect.tenant = open.tenant;
-    effect.timeLeft = open.until - m_now;
-    effect.utilization = placement.fill;
+    effect.timeLeft = open.deadline - m_now;
+    effect.utilization = placement.utilization;
     effect.loadAge = target.load ? std::chrono::duration_cast<Milliseconds>(m_now - target.loadAt) : Milliseconds(-1);
     m_out->emplace_back(std::move(effect));
 }
@@ -227,7 +227,7 @@
         return OtherHostRetryAfter;
     }
     if (reason == Refusal::Quarantined) {
-        return timeToTrial(open);
+        return timeUntilProbe(open);
     }
     if (open.route.name.empty()) {
         return NoRoutingRetryAfter;
@@ -256,14 +256,14 @@
     if (mayComeBack) {
         effect.retryAfter = retryAfter(open, reason, drainTime);
     }
-    giveQuotaBack(open, reason);
+    refundQuota(open, reason);
     m_out->emplace_back(std::move(effect));
 }
 
 // What was passed on can't be taken back, so its caller has to see that it is not whole.
-void Balancer::Impl::giveUp(OpenRequest &open, Refusal reason)
+void Balancer::Impl::failRequest(OpenRequest &open, Refusal reason)
 {
-    if (open.hasBegun) {
+    if (open.hasAnswerBegun) {
         m_out->emplace_back(AbortAnswer{open.request.id, reason});
     } else {
         refuse(open, reason);
@@ -279,7 +279,7 @@
     open.attempts.clear();
 }
 
-void Balancer::Impl::on(const CallerLeft &event)
+void Balancer::Impl::handle(const CallerLeft &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
     if (it == m_open.end()) {
@@ -290,13 +290,13 @@
 }
 
 // Each retry that may arrive at a target is taken from the budget that all entry hosts share.
-bool Balancer::Impl::maySendAgain(const OpenRequest &open, AttemptOutcome outcome)
+bool Balancer::Impl::mayRetry(const OpenRequest &open, AttemptOutcome outcome)
 {
-    if (open.hasBegun || !maySpread(open, outcome)) {
+    if (open.hasAnswerBegun || !mayUseAnotherTarget(open, outcome)) {
         return false;
     }
     const bool isSafe = open.route.kind == RouteKind::Repeatable || (isCertainlyNotRun(outcome) && !open.mayHaveRun);
-    if (!isSafe || open.started >= open.route.attempts || m_now >= open.until) {
+    if (!isSafe || open.attemptsStarted >= open.route.attempts || m_now >= open.deadline) {
         return false;
     }
     if (outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::Withdrawn) {
@@ -305,21 +305,21 @@
     return m_budgets.at(open.service).take(m_now, m_targets.entryHosts());
 }
 
-void Balancer::Impl::on(const AnswerBegun &event)
+void Balancer::Impl::handle(const AnswerBegun &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
-    if (it == m_open.end() || it->second.hasBegun || !it->second.attempts.contains(event.attempt)) {
+    if (it == m_open.end() || it->second.hasAnswerBegun || !it->second.attempts.contains(event.attempt)) {
         return;
     }
     OpenRequest &open = it->second;
-    open.hasBegun = true;
+    open.hasAnswerBegun = true;
     m_out->emplace_back(PassHead{event.id, event.attempt});
     auto kept = open.attempts.extract(event.attempt);
     cancelAttempts(open);
     open.attempts.insert(std::move(kept));
 }
 
-void Balancer::Impl::on(const AttemptEnded &event)
+void Balancer::Impl::handle(const AttemptEnded &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
     if (it == m_open.end()) {
@@ -333,35 +333,36 @@
     const Attempt attempt = ended->second;
     open.attempts.erase(ended);
     m_targets.attemptEnded(attempt.target, event.outcome, event.load, m_now);
-    if (attempt.isPaced && (event.outcome == AttemptOutcome::NotSent || event.outcome == AttemptOutcome::Withdrawn)) {
+    if (attempt.usesLimitShare
+        && (event.outcome == AttemptOutcome::NotSent || event.outcome == AttemptOutcome::Withdrawn)) {
         m_targets.refundLimit(attempt.target);
     }
     if (isCertainlyNotRun(event.outcome)) {
         m_link.take(-attempt.expectedBytes, m_now);
     }
     if (event.outcome == AttemptOutcome::Answered) {
-        m_link.take(static_cast<double>(event.answerBytes) + HeadBytes - attempt.expectedBytes, m_now);
+        m_link.take(static_cast<double>(event.answerBytes) + AnswerHeadBytes - attempt.expectedBytes, m_now);
         m_stats[open.route.name].addAnswerBytes(event.answerBytes);
-        m_stats[open.route.name].addServiceTime(m_now - attempt.startedAt, attempt.fill);
-        noteWork(open, m_now - attempt.startedAt);
+        m_stats[open.route.name].addServiceTime(m_now - attempt.startedAt, attempt.utilization);
+        recordServiceTime(open, m_now - attempt.startedAt);
         m_out->emplace_back(PassAnswer{open.request.id, event.attempt});
         if (!event.isFailure) {
-            excuse(open);
+            clearSuspicion(open);
         }
         cancelAttempts(open);
         m_open.erase(it);
         return;
     }
     if (event.outcome == AttemptOutcome::Lost && event.isConnectionLost) {
-        suspect(open, attempt);
+        checkForCrash(open, attempt);
     }
     open.mayHaveRun |=
-        open.hasBegun || event.outcome == AttemptOutcome::Lost || event.outcome == AttemptOutcome::TimedOut;
+        open.hasAnswerBegun || event.outcome == AttemptOutcome::Lost || event.outcome == AttemptOutcome::TimedOut;
     if (!open.attempts.empty()) {
         return; // another attempt is on its way
     }
-    const bool hasRoute = followRoutes(open);
-    if (hasRoute && maySendAgain(open, event.outcome)) {
+    const bool hasRoute = refreshRoute(open);
+    if (hasRoute && mayRetry(open, event.outcome)) {
         const Placement placement = place(open);
         if (placement.target != nullptr) {
             startAttempt(open, placement);
@@ -369,55 +370,56 @@
         }
     }
     Refusal reason = event.outcome == AttemptOutcome::Shed ? Refusal::Overloaded : Refusal::NotReached;
-    if (isShutOut(open)) {
+    if (isQuarantined(open)) {
         reason = Refusal::Quarantined;
     }
     if (!hasRoute) {
         reason = m_isSuspended ? Refusal::RoutingLate : Refusal::RouteChanged;
     }
     if (open.mayHaveRun) {
-        reason = event.outcome == AttemptOutcome::TimedOut || m_now >= open.until ? Refusal::TimedOut : Refusal::Lost;
+        reason =
+            event.outcome == AttemptOutcome::TimedOut || m_now >= open.deadline ? Refusal::TimedOut : Refusal::Lost;
     }
-    giveUp(open, reason);
+    failRequest(open, reason);
     m_open.erase(it);
 }
 
-void Balancer::Impl::endOverdue()
+void Balancer::Impl::endExpired()
 {
     for (auto it = m_open.begin(); it != m_open.end();) {
         OpenRequest &open = it->second;
-        if (m_now < open.until) {
+        if (m_now < open.deadline) {
             ++it;
             continue;
         }
         cancelAttempts(open);
-        giveUp(open, open.awaitsTrial ? Refusal::Quarantined : Refusal::TimedOut);
+        failRequest(open, open.awaitsProbe ? Refusal::Quarantined : Refusal::TimedOut);
         it = m_open.erase(it);
     }
 }
 
 bool Balancer::Impl::mayHedge(const OpenRequest &open) const
 {
-    return open.attempts.size() == 1 && maySpread(open, AttemptOutcome::TimedOut) && !open.hasBegun
-        && open.route.kind == RouteKind::Repeatable && open.started < open.route.attempts;
+    return open.attempts.size() == 1 && mayUseAnotherTarget(open, AttemptOutcome::TimedOut) && !open.hasAnswerBegun
+        && open.route.kind == RouteKind::Repeatable && open.attemptsStarted < open.route.attempts;
 }
 
-bool Balancer::Impl::isSilent(const Attempt &attempt, const Route &route)
+bool Balancer::Impl::isTargetUnresponsive(const Attempt &attempt, const Route &route)
 {
-    const Duration work = m_stats[route.name].serviceTime().value_or(route.objective);
-    const Duration responseTimeout = std::max<Duration>(LeastHedge, work * HedgeInWork);
+    const Duration serviceTime = m_stats[route.name].serviceTime().value_or(route.objective);
+    const Duration hedgeTimeout = std::max<Duration>(MinHedgeTimeout, serviceTime * HedgeTimeoutFactor);
     const TargetState *target = m_targets.find(attempt.target);
-    const bool isUnresponsive = target == nullptr || target->isUnresponsive(m_now, responseTimeout);
-    return isUnresponsive && m_now - attempt.startedAt >= responseTimeout;
+    const bool isUnresponsive = target == nullptr || target->isUnresponsive(m_now, hedgeTimeout);
+    return isUnresponsive && m_now - attempt.startedAt >= hedgeTimeout;
 }
 
-void Balancer::Impl::hedgeSilent()
+void Balancer::Impl::hedgeUnresponsive()
 {
     for (auto &[id, open] : m_open) {
-        if (!mayHedge(open) || !isSilent(open.attempts.begin()->second, open.route)) {
+        if (!mayHedge(open) || !isTargetUnresponsive(open.attempts.begin()->second, open.route)) {
             continue;
         }
-        if (!followRoutes(open) || !mayHedge(open)) {
+        if (!refreshRoute(open) || !mayHedge(open)) {
             continue;
         }
         const Placement placement = place(open);
@@ -428,14 +430,14 @@
     }
 }
 
-void Balancer::Impl::on(const BalanceTick &)
+void Balancer::Impl::handle(const BalanceTick &)
 {
-    suspendIfLate();
-    endOverdue();
-    hedgeSilent();
-    followPlans();
+    updateSuspension();
+    endExpired();
+    hedgeUnresponsive();
+    updatePlans();
     m_quarantine.forget(m_now);
-    forgetLimits();
+    expireLimits();
 }
 
 std::size_t Balancer::Impl::openRequests() const
@@ -455,7 +457,7 @@
 double Balancer::Impl::linkUse(TimePoint now) const
 {
     const auto link = static_cast<double>(m_settings.linkBytesPerSecond);
-    return link > 0 ? m_askedBytes.perSecond(now) / link : 0;
+    return link > 0 ? m_requestedBytes.perSecond(now) / link : 0;
 }
 
 std::uint64_t Balancer::Impl::tableVersion() const
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -38,9 +38,9 @@
         Incarnation target;
         std::string address;
         TimePoint startedAt{};
-        double fill = 0;
+        double utilization = 0;
         double expectedBytes = 0; ///< counted for its answer
-        bool isPaced = false; ///< taken from this host's part of the target's limit
+        bool usesLimitShare = false; ///< taken from this host's part of the target's limit
     };
 
     struct OpenRequest {
@@ -48,26 +48,26 @@
         Route route; ///< with the tenant's priority, and the homes of both
         std::string tenant; ///< in whose name it is made; empty: nobody's
         TenantLimit limit;
-        bool isCharged = false; ///< counted towards the limit
-        bool hasNoHome = false; ///< no region may serve its route and its tenant
+        bool isCountedInQuota = false; ///< counted towards the limit
+        bool hasNoRegion = false; ///< no region may serve its route and its tenant
         std::uint64_t tableVersion = 0; ///< of the table that the route is from
         std::string service;
         std::uint64_t affinity = 0;
         TimePoint arrivedAt{};
-        TimePoint until{};
-        unsigned started = 0; ///< attempts so far
+        TimePoint deadline{};
+        unsigned attemptsStarted = 0; ///< attempts so far
         std::map<unsigned, Attempt> attempts; ///< those on their way
-        std::set<std::string> tried;
+        std::set<std::string> triedTargets;
         std::string lastTarget;
         bool mayHaveRun = false;
-        bool isReturning = false; ///< its caller was refused before, and waited
-        bool hasBegun = false; ///< a part of an answer was passed on
-        bool awaitsTrial = false; ///< nothing was sent, and the control hosts are asked whether it may be
-        bool isTrial = false; ///< may be sent once although it is shut out
+        bool isCallerRetry = false; ///< its caller was refused before, and waited
+        bool hasAnswerBegun = false; ///< a part of an answer was passed on
+        bool awaitsProbe = false; ///< nothing was sent, and the control hosts are asked whether it may be
+        bool isProbe = false; ///< may be sent once although it is shut out
     };
 
     /// Who makes a request, by the table in force.
-    struct Asker {
+    struct CallerIdentity {
         const Tenant *tenant = nullptr;
         bool isAllowed = true;
         /// Of the tenant; empty: nobody's.
@@ -80,79 +80,79 @@
     /// A target that a request may go to, or why there is none.
     struct Placement {
         TargetState *target = nullptr;
-        double fill = 0;
+        double utilization = 0;
         Refusal refusal{};
         double admissibleUtilization = 1;
         Duration untilCapacity{}; ///< Refusal::Backpressure: until a target takes one more
     };
 
     // Balancer.cpp
-    void on(const RoutesChanged &event);
-    void on(const ReportsChanged &event);
-    void on(const CallerRequest &event);
-    void on(const CallerLeft &event);
-    void on(const AnswerBegun &event);
-    void on(const AttemptEnded &event);
-    void on(const BalanceTick &event);
+    void handle(const RoutesChanged &event);
+    void handle(const ReportsChanged &event);
+    void handle(const CallerRequest &event);
+    void handle(const CallerLeft &event);
+    void handle(const AnswerBegun &event);
+    void handle(const AttemptEnded &event);
+    void handle(const BalanceTick &event);
     void startAttempt(OpenRequest &open, const Placement &placement);
     void refuse(OpenRequest &open, Refusal reason, Duration drainTime = {});
-    void giveUp(OpenRequest &open, Refusal reason);
-    void endOverdue();
+    void failRequest(OpenRequest &open, Refusal reason);
+    void endExpired();
     bool mayHedge(const OpenRequest &open) const;
-    bool isSilent(const Attempt &attempt, const Route &route);
-    void hedgeSilent();
+    bool isTargetUnresponsive(const Attempt &attempt, const Route &route);
+    void hedgeUnresponsive();
     void cancelAttempts(OpenRequest &open);
-    bool maySendAgain(const OpenRequest &open, AttemptOutcome outcome);
+    bool mayRetry(const OpenRequest &open, AttemptOutcome outcome);
     Milliseconds retryAfter(const OpenRequest &open, Refusal reason, Duration drainTime);
 
     // RoutesInForce.cpp
-    void on(const UpdateReceived &event);
-    void suspendIfLate();
+    void handle(const UpdateReceived &event);
+    void updateSuspension();
     bool mayHaveMissedRoutes() const;
-    const Route *routeInForce(const OpenRequest &open) const;
-    Asker askerOf(const CallerRequest &request, const Route *route) const;
-    void adopt(OpenRequest &open, const Route &route, const Asker &asker);
-    static void adoptTenant(OpenRequest &open, const Asker &asker);
-    bool followRoutes(OpenRequest &open);
+    const Route *currentRoute(const OpenRequest &open) const;
+    CallerIdentity identifyCaller(const CallerRequest &request, const Route *route) const;
+    void assignRoute(OpenRequest &open, const Route &route, const CallerIdentity &caller);
+    static void assignTenant(OpenRequest &open, const CallerIdentity &caller);
+    bool refreshRoute(OpenRequest &open);
     static bool leadsTo(const Route &route, const Tenant *tenant, const TargetState &target);
 
     // Quotas.cpp
-    void on(const TenantLoadsReceived &event);
-    bool isWithinQuota(OpenRequest &open);
-    void giveQuotaBack(const OpenRequest &open, Refusal reason);
+    void handle(const TenantLoadsReceived &event);
+    bool chargeQuota(OpenRequest &open);
+    void refundQuota(const OpenRequest &open, Refusal reason);
 
     // Backpressures.cpp
-    void on(const TargetSignalled &event);
-    void on(const BackpressureReceived &event);
-    void followBackpressure();
+    void handle(const TargetSignalled &event);
+    void handle(const BackpressureReceived &event);
+    void applyKnownBackpressure();
     void applyBackpressure(const Incarnation &target);
-    void tellBackpressure(const Incarnation &target, bool isLocal);
-    void forgetLimits();
-    void noteWork(const OpenRequest &open, Duration took);
+    void publishBackpressure(const Incarnation &target, bool isLocal);
+    void expireLimits();
+    void recordServiceTime(const OpenRequest &open, Duration took);
 
     // Suspicion.cpp
-    void on(const TargetChecked &event);
-    void on(const SuspectsReceived &event);
-    void on(const ProbeDecided &event);
-    bool holdBack(OpenRequest &open);
-    bool isShutOut(const OpenRequest &open) const;
-    bool maySpread(const OpenRequest &open, AttemptOutcome outcome) const;
-    void suspect(const OpenRequest &open, const Attempt &attempt);
-    void excuse(const OpenRequest &open);
-    void tellChange(const std::string &digest, const std::string &target, bool isLocal);
-    Milliseconds timeToTrial(const OpenRequest &open) const;
+    void handle(const TargetChecked &event);
+    void handle(const SuspectsReceived &event);
+    void handle(const ProbeDecided &event);
+    bool refuseOrProbe(OpenRequest &open);
+    bool isQuarantined(const OpenRequest &open) const;
+    bool mayUseAnotherTarget(const OpenRequest &open, AttemptOutcome outcome) const;
+    void checkForCrash(const OpenRequest &open, const Attempt &attempt);
+    void clearSuspicion(const OpenRequest &open);
+    void publishSuspect(const std::string &digest, const std::string &target, bool isLocal);
+    Milliseconds timeUntilProbe(const OpenRequest &open) const;
 
     // Placement.cpp
     Placement place(const OpenRequest &open);
-    Placement placeIn(const OpenRequest &open, const std::string &region, bool keepsKey = true);
-    double admissibleUtilization(const OpenRequest &open, bool isAbroad) const;
-    bool isReturning(const OpenRequest &open);
+    Placement placeInRegion(const OpenRequest &open, const std::string &region, bool keepsKey = true);
+    double admissibleUtilization(const OpenRequest &open, bool isInOtherRegion) const;
+    bool isCallerRetry(const OpenRequest &open);
     std::string pickRegion(const OpenRequest &open);
     std::string pickService(const Route &route);
     bool fitsLink(const OpenRequest &open);
-    void findUrgentPriorities();
+    void updateUrgentPriorities();
     bool isMostUrgent(const Route &route) const;
-    void followPlans();
+    void updatePlans();
 
     BalanceSettings m_settings;
     std::string m_region;
@@ -160,7 +160,7 @@
     TargetSet m_targets;
     std::shared_ptr<const RouteTable> m_table;
     std::optional<RouteIndex> m_routeIndex; ///< of the table
-    std::optional<UpdateReceived> m_lastNews;
+    std::optional<UpdateReceived> m_lastUpdate;
     bool m_isSuspended = false;
     std::map<std::string, unsigned> m_urgentPriority; ///< by service: the most urgent one among its routes
     std::unordered_map<std::uint64_t, OpenRequest> m_open;
@@ -171,15 +171,15 @@
     QuotaShares m_quotas;
     BackpressureTable m_backpressure;
     /// Requests whose connection ended at a target of which it is not known yet whether it has ended: their digests.
-    std::map<Incarnation, std::set<std::string>> m_unchecked;
+    std::map<Incarnation, std::set<std::string>> m_pendingChecks;
     LinkBudget m_link;
     std::map<std::string, ArrivalRate> m_arrivals; ///< by service: slots that requests keep busy
-    ArrivalRate m_askedBytes;
-    std::map<std::string, ShiftAllowance> m_overflow; ///< by service
-    std::map<std::string, double> m_meanWork; ///< by service: s, of the answers lately
-    std::map<std::string, std::vector<double>> m_turns; ///< by route: what each part of a split is owed
+    ArrivalRate m_requestedBytes;
+    std::map<std::string, ShiftAllowance> m_shiftAllowances; ///< by service
+    std::map<std::string, double> m_meanServiceTime; ///< by service: s, of the answers lately
+    std::map<std::string, std::vector<double>> m_serviceCredits; ///< by route: what each part of a split is owed
     TimePoint m_now{};
-    TimePoint m_planDue{};
+    TimePoint m_plansDueAt{};
     BalanceEffects *m_out = nullptr;
 };
 
--- a/lib/Balance/LinkBudget.h
+++ b/lib/Balance/LinkBudget.h
@@ -14,33 +14,33 @@
 public:
     /// `bytesPerSecond`: of the link; 0 for one that need not be minded.
     explicit LinkBudget(std::uint64_t bytesPerSecond)
-        : m_terms{static_cast<double>(bytesPerSecond) * UsedPart,
-                  static_cast<double>(bytesPerSecond) * UsedPart * Burst.count()}
-        , m_bytes(m_terms.depth)
+        : m_config{static_cast<double>(bytesPerSecond) * UsableShare,
+                   static_cast<double>(bytesPerSecond) * UsableShare * BurstTime.count()}
+        , m_bytes(m_config.depth)
     {
     }
 
     /// Whether an answer of this size may be asked for now. The first one may always be, however long it is.
     bool has(double bytes, TimePoint now)
     {
-        return m_terms.perSecond <= 0 || m_bytes.has(bytes, m_terms, now);
+        return m_config.perSecond <= 0 || m_bytes.has(bytes, m_config, now);
     }
 
     /// Counts an answer of this size; a negative one gives back what was counted too much.
     void take(double bytes, TimePoint now)
     {
-        m_bytes.refill(m_terms, now);
+        m_bytes.refill(m_config, now);
         m_bytes.take(bytes);
     }
 
 private:
     /// Each answer passes the link twice, from its target and to its caller, and both ways share it: so less than half.
-    static constexpr double UsedPart = 0.4;
+    static constexpr double UsableShare = 0.4;
     /// Room for two large answers on a narrow link: with less, one large answer beside the small ones that come all the
     /// time shuts out the next for a second.
-    static constexpr std::chrono::duration<double> Burst{0.7};
+    static constexpr std::chrono::duration<double> BurstTime{0.7};
 
-    BucketConfig m_terms;
+    BucketConfig m_config;
     TokenBucket m_bytes;
 };
 
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -15,14 +15,14 @@
 {
 
 /// Time to a target of another region and back, where nothing better is known.
-constexpr Milliseconds AbroadTime{60};
+constexpr Milliseconds OtherRegionLatency{60};
 /// Part of the shift bound that requests may use besides the plan.
-constexpr double OverflowPart = 0.2;
+constexpr double UnplannedShiftShare = 0.2;
 /// Silence of a target, in work times, after which it is doubted.
-constexpr int PatienceInWork = 3;
-constexpr Milliseconds LeastPatience{600};
+constexpr int ResponseTimeoutFactor = 3;
+constexpr Milliseconds MinResponseTimeout{600};
 constexpr Milliseconds PlanInterval{200};
-constexpr unsigned LeastUrgent = std::numeric_limits<unsigned>::max();
+constexpr unsigned LowestPriority = std::numeric_limits<unsigned>::max();
 
 } // namespace
 
@@ -32,7 +32,7 @@
         return route.services.front().service;
     }
     // Each part is owed its weight with every request; the one that is owed most gets it.
-    std::vector<double> &owed = m_turns[route.name];
+    std::vector<double> &owed = m_serviceCredits[route.name];
     owed.resize(route.services.size());
     double sum = 0;
     std::size_t best = 0;
@@ -59,16 +59,17 @@
     return region.empty() ? m_region : region;
 }
 
-Balancer::Impl::Placement Balancer::Impl::placeIn(const OpenRequest &open, const std::string &region, bool keepsKey)
+Balancer::Impl::Placement Balancer::Impl::placeInRegion(const OpenRequest &open, const std::string &region,
+                                                        bool keepsKey)
 {
     TargetQuery query;
     query.service = open.service;
     query.affinity = keepsKey ? open.affinity : 0;
-    query.excluded = open.tried;
+    query.excluded = open.triedTargets;
     query.homeRegions = &open.route.homeRegions;
     query.region = region;
-    const Duration work = m_stats[open.route.name].serviceTime().value_or(open.route.objective);
-    query.responseTimeout = std::max<Duration>(LeastPatience, work * PatienceInWork);
+    const Duration serviceTime = m_stats[open.route.name].serviceTime().value_or(open.route.objective);
+    query.responseTimeout = std::max<Duration>(MinResponseTimeout, serviceTime * ResponseTimeoutFactor);
     query.admissibleUtilization = admissibleUtilization(open, !region.empty() && region != m_region);
     Placement placement;
     placement.admissibleUtilization = query.admissibleUtilization;
@@ -80,26 +81,26 @@
         placement.untilCapacity = choice.untilCapacity.value_or(Duration(0));
         return placement;
     }
-    placement.fill = (placement.target->estimatedRequests(m_now) + 1) / placement.target->slots();
+    placement.utilization = (placement.target->estimatedRequests(m_now) + 1) / placement.target->slots();
     return placement;
 }
 
 // Asked with every request, and a table may have hundreds of routes. A tenant's priority goes before that of a route.
-void Balancer::Impl::findUrgentPriorities()
+void Balancer::Impl::updateUrgentPriorities()
 {
     m_urgentPriority.clear();
-    std::optional<unsigned> ofTenants;
-    bool isRouteAsked = m_table->tenants.empty();
+    std::optional<unsigned> tenantPriority;
+    bool usesRoutePriority = m_table->tenants.empty();
     for (const Tenant &tenant : m_table->tenants) {
-        isRouteAsked |= !tenant.priority;
-        ofTenants = std::min(ofTenants.value_or(LeastUrgent), tenant.priority.value_or(LeastUrgent));
+        usesRoutePriority |= !tenant.priority;
+        tenantPriority = std::min(tenantPriority.value_or(LowestPriority), tenant.priority.value_or(LowestPriority));
     }
     for (const Route &route : m_table->routes) {
-        const unsigned own = isRouteAsked || route.isPublic ? route.priority : LeastUrgent;
-        const unsigned priority = std::min(own, ofTenants.value_or(LeastUrgent));
+        const unsigned own = usesRoutePriority || route.isPublic ? route.priority : LowestPriority;
+        const unsigned priority = std::min(own, tenantPriority.value_or(LowestPriority));
         for (const WeightedService &it : route.services) {
-            const auto [place, isNew] = m_urgentPriority.try_emplace(it.service, priority);
-            place->second = std::min(place->second, priority);
+            const auto [entry, isNew] = m_urgentPriority.try_emplace(it.service, priority);
+            entry->second = std::min(entry->second, priority);
         }
     }
 }
@@ -110,7 +111,7 @@
     return it == m_urgentPriority.end() || route.priority <= it->second;
 }
 
-double Balancer::Impl::admissibleUtilization(const OpenRequest &open, bool isAbroad) const
+double Balancer::Impl::admissibleUtilization(const OpenRequest &open, bool isInOtherRegion) const
 {
     AdmissionQuery query;
     const auto stats = m_stats.find(open.route.name);
@@ -119,16 +120,16 @@
         query.warmServiceTime = stats->second.warmServiceTime();
     }
     query.objectiveLeft = open.route.objective - (m_now - open.arrivedAt);
-    query.timeLeft = open.until - m_now;
-    query.extraLatency = isAbroad ? AbroadTime : Milliseconds(0);
+    query.timeLeft = open.deadline - m_now;
+    query.extraLatency = isInOtherRegion ? OtherRegionLatency : Milliseconds(0);
     query.isUrgent = isMostUrgent(open.route);
-    query.lateDeadlineShare = open.isReturning ? m_settings.policy.lateDeadlineShare : 0;
+    query.lateDeadlineShare = open.isCallerRetry ? m_settings.policy.lateDeadlineShare : 0;
     return pepperlug::fleet::admissibleUtilization(query);
 }
 
 // A caller that was refused has less time left than those that come for the first time. One that did not wait as it
 // was told gets no precedence.
-bool Balancer::Impl::isReturning(const OpenRequest &open)
+bool Balancer::Impl::isCallerRetry(const OpenRequest &open)
 {
     if (m_settings.policy.lateDeadlineShare <= 0 || !open.request.deadline) {
         return false;
@@ -147,51 +148,54 @@
 
 Balancer::Impl::Placement Balancer::Impl::place(const OpenRequest &open)
 {
-    if (open.hasNoHome) {
+    if (open.hasNoRegion) {
         return {nullptr, 0, Refusal::NoTarget};
     }
     if (!fitsLink(open)) {
         return {nullptr, 0, Refusal::LinkFull};
     }
     const std::string region = pickRegion(open);
-    const Placement planned = placeIn(open, region);
-    if (planned.target != nullptr && planned.fill <= planned.admissibleUtilization) {
+    const Placement planned = placeInRegion(open, region);
+    if (planned.target != nullptr && planned.utilization <= planned.admissibleUtilization) {
         return planned;
     }
     const bool hasTarget = planned.target != nullptr;
-    const bool regionIsDead = !hasTarget && planned.refusal == Refusal::NoTarget;
-    const Placement noRoom =
-        hasTarget ? Placement{nullptr, planned.fill, Refusal::Overloaded, planned.admissibleUtilization} : planned;
-    if (hasTarget && open.affinity != 0 && !open.isReturning) {
-        return noRoom;
+    const bool regionHasNoTarget = !hasTarget && planned.refusal == Refusal::NoTarget;
+    const Placement rejected = hasTarget
+        ? Placement{nullptr, planned.utilization, Refusal::Overloaded, planned.admissibleUtilization}
+        : planned;
+    if (hasTarget && open.affinity != 0 && !open.isCallerRetry) {
+        return rejected;
     }
     // A returning caller is served by whoever has room, at the price of a target that has to learn its key.
-    Placement other = placeIn(open, {}, !hasTarget);
+    Placement other = placeInRegion(open, {}, !hasTarget);
     if (other.target == nullptr) {
-        return regionIsDead ? other : noRoom;
+        return regionHasNoTarget ? other : rejected;
     }
-    const bool isAbroad = other.target->region != m_region;
-    if (other.fill > admissibleUtilization(open, isAbroad)) {
-        return {nullptr, other.fill, Refusal::Overloaded, other.admissibleUtilization};
+    const bool isInOtherRegion = other.target->region != m_region;
+    if (other.utilization > admissibleUtilization(open, isInOtherRegion)) {
+        return {nullptr, other.utilization, Refusal::Overloaded, other.admissibleUtilization};
     }
-    const bool mayMove = regionIsDead || !isAbroad
-        || m_overflow[open.service].take(m_now, m_settings.shiftWindow, m_settings.maxShift * OverflowPart);
-    return mayMove ? other : noRoom;
+    const bool mayMove = regionHasNoTarget || !isInOtherRegion
+        || m_shiftAllowances[open.service].take(m_now, m_settings.shiftWindow,
+                                                m_settings.maxShift * UnplannedShiftShare);
+    return mayMove ? other : rejected;
 }
 
-void Balancer::Impl::followPlans()
+void Balancer::Impl::updatePlans()
 {
-    if (m_now < m_planDue || !m_table) {
+    if (m_now < m_plansDueAt || !m_table) {
         return;
     }
-    m_planDue = m_now + PlanInterval;
+    m_plansDueAt = m_now + PlanInterval;
     // Two windows lie between the states that are compared, and chance moves some requests too.
     const double window = std::chrono::duration<double>(m_settings.shiftWindow).count();
     const double step = m_settings.maxShift / window / 2;
     for (const ServiceTraits &service : m_table->services) {
-        const auto work = m_meanWork.find(service.name);
+        const auto serviceTime = m_meanServiceTime.find(service.name);
         const std::map<std::string, double> capacity = m_targets.capacity(
-            service.name, work == m_meanWork.end() ? std::nullopt : std::optional(work->second), m_now);
+            service.name, serviceTime == m_meanServiceTime.end() ? std::nullopt : std::optional(serviceTime->second),
+            m_now);
         std::map<std::string, double> demand = m_targets.demand(service.name);
         double sum = 0;
         for (const auto &[region, slots] : demand) {
--- a/lib/Balance/Quotas.cpp
+++ b/lib/Balance/Quotas.cpp
@@ -9,23 +9,23 @@
 namespace pepperlug::fleet
 {
 
-void Balancer::Impl::on(const TenantLoadsReceived &event)
+void Balancer::Impl::handle(const TenantLoadsReceived &event)
 {
     m_quotas.told(event.loads);
 }
 
-bool Balancer::Impl::isWithinQuota(OpenRequest &open)
+bool Balancer::Impl::chargeQuota(OpenRequest &open)
 {
-    if (open.limit.perSecond <= 0 || open.isCharged) {
+    if (open.limit.perSecond <= 0 || open.isCountedInQuota) {
         return true;
     }
-    open.isCharged = m_quotas.admit(open.tenant, open.limit, m_now);
-    return open.isCharged;
+    open.isCountedInQuota = m_quotas.admit(open.tenant, open.limit, m_now);
+    return open.isCountedInQuota;
 }
 
-void Balancer::Impl::giveQuotaBack(const OpenRequest &open, Refusal reason)
+void Balancer::Impl::refundQuota(const OpenRequest &open, Refusal reason)
 {
-    if (open.isCharged && promisesNotRun(reason)) {
+    if (open.isCountedInQuota && promisesNotRun(reason)) {
         m_quotas.giveBack(open.tenant, m_now);
     }
 }
--- a/lib/Balance/RegionPlan.cpp
+++ b/lib/Balance/RegionPlan.cpp
@@ -12,9 +12,9 @@
 {
 
 /// Part of a region's slots up to which it serves its own callers before it sends any away.
-constexpr double FullRegion = 0.6;
+constexpr double FullUtilization = 0.6;
 /// Below this a region is treated as having no room.
-constexpr double LeastRoom = 0.5;
+constexpr double MinSpareSlots = 0.5;
 
 double valueOr0(const std::map<std::string, double> &values, const std::string &key)
 {
@@ -54,22 +54,22 @@
     }
     const double wanted = valueOr0(demand, region);
     // All regions are filled to the same level when there is more demand than room.
-    const double level = std::max(FullRegion, totalDemand / totalCapacity);
+    const double level = std::max(FullUtilization, totalDemand / totalCapacity);
     const double kept = wanted <= 0 ? 1.0 : std::min(1.0, own * level / wanted);
     RegionShares shares;
     shares[region] = kept;
-    RegionShares room;
+    RegionShares spare;
     for (const auto &[name, slots] : capacity) {
         const double free = slots * level - valueOr0(demand, name);
-        if (name != region && free > LeastRoom) {
-            room[name] = free;
+        if (name != region && free > MinSpareSlots) {
+            spare[name] = free;
         }
     }
-    room = normalized(room);
-    if (room.empty()) {
+    spare = normalized(spare);
+    if (spare.empty()) {
         return {{region, 1.0}};
     }
-    for (const auto &[name, part] : room) {
+    for (const auto &[name, part] : spare) {
         shares[name] = (1 - kept) * part;
     }
     if (own <= 0) {
@@ -89,10 +89,10 @@
         return;
     }
     // The first plan is taken whole, and a region without any target is left at once.
-    const bool leavesDead = std::any_of(m_shares.begin(), m_shares.end(), [&](const auto &it) {
+    const bool leavesEmptyRegion = std::any_of(m_shares.begin(), m_shares.end(), [&](const auto &it) {
         return it.second > 0 && valueOr0(capacity, it.first) <= 0;
     });
-    if (m_shares.empty() || leavesDead) {
+    if (m_shares.empty() || leavesEmptyRegion) {
         m_shares = planned;
         m_movedAt = now;
         return;
--- a/lib/Balance/RetryBudget.h
+++ b/lib/Balance/RetryBudget.h
@@ -11,8 +11,8 @@
 class RetryBudget
 {
 public:
-    explicit RetryBudget(const RetryBudgetSettings &terms)
-        : m_terms(terms)
+    explicit RetryBudget(const RetryBudgetSettings &settings)
+        : m_settings(settings)
     {
     }
 
@@ -26,8 +26,8 @@
     bool take(TimePoint now, std::size_t hosts)
     {
         drop(now);
-        const double slack = m_terms.slack * SlackPart / static_cast<double>(std::max<std::size_t>(1, hosts));
-        const double allowed = m_terms.ratio * RatioPart * static_cast<double>(m_requests.size()) + slack;
+        const double slack = m_settings.slack * SlackShare / static_cast<double>(std::max<std::size_t>(1, hosts));
+        const double allowed = m_settings.ratio * RatioShare * static_cast<double>(m_requests.size()) + slack;
         if (static_cast<double>(m_retries.size()) + 1 > allowed) {
             return false;
         }
@@ -36,19 +36,19 @@
     }
 
 private:
-    static constexpr double SlackPart = 0.4;
-    static constexpr double RatioPart = 0.7;
+    static constexpr double SlackShare = 0.4;
+    static constexpr double RatioShare = 0.7;
 
     void drop(TimePoint now)
     {
         for (std::deque<TimePoint> *times : {&m_requests, &m_retries}) {
-            while (!times->empty() && now - times->front() > m_terms.window) {
+            while (!times->empty() && now - times->front() > m_settings.window) {
                 times->pop_front();
             }
         }
     }
 
-    RetryBudgetSettings m_terms;
+    RetryBudgetSettings m_settings;
     std::deque<TimePoint> m_requests;
     std::deque<TimePoint> m_retries;
 };
--- a/lib/Balance/RouteStats.h
+++ b/lib/Balance/RouteStats.h
@@ -15,15 +15,15 @@
 {
 public:
     /// `fill`: requests over slots at the target when the attempt began; above 1 a part of the time was waiting.
-    void addServiceTime(Duration took, double fill)
+    void addServiceTime(Duration took, double utilization)
     {
-        const double work = std::chrono::duration<double>(took).count() / std::max(1.0, fill);
-        m_work = m_count == 0 ? work : m_work + (work - m_work) * Weight;
+        const double serviceTime = std::chrono::duration<double>(took).count() / std::max(1.0, utilization);
+        m_serviceTime = m_count == 0 ? serviceTime : m_serviceTime + (serviceTime - m_serviceTime) * Weight;
         if (m_count == 0) {
-            m_warmWork = work;
+            m_warmServiceTime = serviceTime;
         }
         // Moves until the wanted part of the times lies below.
-        m_warmWork *= work < m_warmWork ? 1 - Step * (1 - WarmQuantile) : 1 + Step * WarmQuantile;
+        m_warmServiceTime *= serviceTime < m_warmServiceTime ? 1 - Step * (1 - WarmQuantile) : 1 + Step * WarmQuantile;
         ++m_count;
     }
 
@@ -43,11 +43,11 @@
     std::optional<Duration> firstTryDeadline() const
     {
         const std::size_t n = std::min<std::size_t>(m_deadlineCount, m_deadlines.size());
-        if (n < LeastSeen) {
+        if (n < MinSamples) {
             return std::nullopt;
         }
         auto sorted = m_deadlines;
-        const auto it = sorted.begin() + static_cast<std::ptrdiff_t>(static_cast<double>(n) * FirstQuantile);
+        const auto it = sorted.begin() + static_cast<std::ptrdiff_t>(static_cast<double>(n) * FirstTryQuantile);
         std::nth_element(sorted.begin(), it, sorted.begin() + static_cast<std::ptrdiff_t>(n));
         return std::chrono::duration_cast<Duration>(std::chrono::duration<float>(*it));
     }
@@ -61,37 +61,37 @@
     /// Time at a target that remembers the request's key; nothing while too little was seen.
     std::optional<Duration> warmServiceTime() const
     {
-        if (m_count < LeastSeen) {
+        if (m_count < MinSamples) {
             return std::nullopt;
         }
-        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(m_warmWork));
+        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(m_warmServiceTime));
     }
 
     /// Mean time; nothing while too little was seen.
     std::optional<Duration> serviceTime() const
     {
-        if (m_count < LeastSeen) {
+        if (m_count < MinSamples) {
             return std::nullopt;
         }
-        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(m_work));
+        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(m_serviceTime));
     }
 
 private:
     static constexpr double Weight = 0.05;
-    static constexpr unsigned LeastSeen = 5;
+    static constexpr unsigned MinSamples = 5;
     static constexpr double WarmQuantile = 0.3;
     static constexpr double Step = 0.05;
     /// Under load up to half of the requests are from callers that were refused before, with less time left; a few
     /// callers are more patient than the rest. Between the two lies what most have at first.
-    static constexpr double FirstQuantile = 0.75;
+    static constexpr double FirstTryQuantile = 0.75;
     /// Enough for a quantile of 0.75, and sorted with each request.
-    static constexpr std::size_t KeptDeadlines = 32;
+    static constexpr std::size_t DeadlineSamples = 32;
 
-    double m_work = 0;
+    double m_serviceTime = 0;
     double m_answerBytes = 0;
-    double m_warmWork = 0;
+    double m_warmServiceTime = 0;
     unsigned m_count = 0;
-    std::array<float, KeptDeadlines> m_deadlines{}; ///< s, of the latest requests
+    std::array<float, DeadlineSamples> m_deadlines{}; ///< s, of the latest requests
     unsigned m_deadlineCount = 0;
 };
 
--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -15,15 +15,15 @@
 {
 
 /// Time that an answer needs back to its caller.
-constexpr Milliseconds WayBack{20};
+constexpr Milliseconds ReturnLatency{20};
 
 } // namespace
 
-void Balancer::Impl::on(const UpdateReceived &event)
+void Balancer::Impl::handle(const UpdateReceived &event)
 {
-    m_lastNews = event;
+    m_lastUpdate = event;
     m_quotas.heardAsOf(event.requestedAt);
-    suspendIfLate();
+    updateSuspension();
 }
 
 // Whoever acknowledges a change waits for this host to act by it. A slow link must hold up neither the operator nor the
@@ -34,15 +34,15 @@
 //
 // Once it has said so it stays so until it has all that it was told of: others rely on it for each of these changes,
 // and the next one may arrive while a later one is missing.
-void Balancer::Impl::suspendIfLate()
+void Balancer::Impl::updateSuspension()
 {
-    if (!m_lastNews || !m_lastNews->behindSince) {
+    if (!m_lastUpdate || !m_lastUpdate->behindSince) {
         m_isSuspended = false;
         return;
     }
-    const bool isLate = m_lastNews->isArriving && m_now - *m_lastNews->behindSince > m_settings.updateLease;
+    const bool isLate = m_lastUpdate->isArriving && m_now - *m_lastUpdate->behindSince > m_settings.updateLease;
     // Nobody waits for a host that is cut off, so it serves on.
-    const bool isCutOff = m_now - m_lastNews->requestedAt > CutOffLeases * m_settings.updateLease;
+    const bool isCutOff = m_now - m_lastUpdate->requestedAt > CutOffLeases * m_settings.updateLease;
     m_isSuspended = !isCutOff && (isLate || m_isSuspended);
 }
 
@@ -55,16 +55,16 @@
 // Routes that are known are served whatever the age of the view: a zone that is cut off serves on.
 bool Balancer::Impl::mayHaveMissedRoutes() const
 {
-    return !m_lastNews || m_lastNews->behindSince || m_now - m_lastNews->requestedAt > m_settings.updateLease;
+    return !m_lastUpdate || m_lastUpdate->behindSince || m_now - m_lastUpdate->requestedAt > m_settings.updateLease;
 }
 
-const Route *Balancer::Impl::routeInForce(const OpenRequest &open) const
+const Route *Balancer::Impl::currentRoute(const OpenRequest &open) const
 {
     return m_routeIndex->match(open.request.host, open.request.path);
 }
 
 // A key is asked for at each send like a route: it may have been taken away or given to another tenant meanwhile.
-Balancer::Impl::Asker Balancer::Impl::askerOf(const CallerRequest &request, const Route *route) const
+Balancer::Impl::CallerIdentity Balancer::Impl::identifyCaller(const CallerRequest &request, const Route *route) const
 {
     if (route == nullptr || m_table->tenants.empty()) {
         return {nullptr, route != nullptr};
@@ -74,11 +74,11 @@
 }
 
 // Where route and tenant both name homes, both bind.
-void Balancer::Impl::adoptTenant(OpenRequest &open, const Asker &asker)
+void Balancer::Impl::assignTenant(OpenRequest &open, const CallerIdentity &caller)
 {
-    const Tenant *tenant = asker.tenant;
-    open.hasNoHome = false;
-    open.tenant = asker.name();
+    const Tenant *tenant = caller.tenant;
+    open.hasNoRegion = false;
+    open.tenant = caller.name();
     open.limit = tenant != nullptr ? tenant->limit : TenantLimit{};
     if (tenant == nullptr) {
         return;
@@ -91,14 +91,14 @@
         return;
     }
     std::erase_if(homes, [&](const std::string &it) { return std::ranges::find(others, it) == others.end(); });
-    open.hasNoHome = homes.empty();
+    open.hasNoRegion = homes.empty();
 }
 
 // A service that the route leads to by its new table as well is kept, so that parts of a split keep their weights.
-void Balancer::Impl::adopt(OpenRequest &open, const Route &route, const Asker &asker)
+void Balancer::Impl::assignRoute(OpenRequest &open, const Route &route, const CallerIdentity &caller)
 {
     open.route = route;
-    adoptTenant(open, asker);
+    assignTenant(open, caller);
     open.tableVersion = m_table->version;
     const auto isKept = [&](const WeightedService &it) {
         return it.service == open.service && it.weight > 0;
@@ -110,14 +110,15 @@
     const std::string &key = open.request.affinityKey;
     open.affinity = route.sticky && !key.empty() ? hash64(key) : 0;
     const std::optional<Duration> &deadline = open.request.deadline;
-    open.until = open.arrivedAt + std::min<Duration>(route.timeout, deadline ? *deadline - WayBack : route.timeout);
+    open.deadline =
+        open.arrivedAt + std::min<Duration>(route.timeout, deadline ? *deadline - ReturnLatency : route.timeout);
 }
 
 // A request may be open for many seconds, and this host has long told others that it acts by the newest table. So each
 // send goes by the route that is in force then, not by the one of the arrival: none by a replaced route, where each
 // request that was sent again after a change went by one (RoutesChangeTest). False: there is no such route any more, or
 // it is not known.
-bool Balancer::Impl::followRoutes(OpenRequest &open)
+bool Balancer::Impl::refreshRoute(OpenRequest &open)
 {
     if (m_isSuspended) {
         return false;
@@ -125,12 +126,12 @@
     if (open.tableVersion == m_table->version) {
         return true;
     }
-    const Route *route = routeInForce(open);
-    const Asker asker = askerOf(open.request, route);
-    if (!asker.isAllowed) {
+    const Route *route = currentRoute(open);
+    const CallerIdentity caller = identifyCaller(open.request, route);
+    if (!caller.isAllowed) {
         return false;
     }
-    adopt(open, *route, asker);
+    assignRoute(open, *route, caller);
     return true;
 }
 
@@ -148,23 +149,23 @@
 bool Balancer::Impl::maySend(RequestId id, unsigned attempt) const
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(id));
-    if (it == m_open.end() || m_isSuspended || isShutOut(it->second)) {
+    if (it == m_open.end() || m_isSuspended || isQuarantined(it->second)) {
         return false;
     }
     const OpenRequest &open = it->second;
     const auto started = open.attempts.find(attempt);
     const TargetState *target = started == open.attempts.end() ? nullptr : m_targets.find(started->second.target);
-    if (target == nullptr || !m_targets.takesWork(*target) || target->isBackingOff(m_now)) {
+    if (target == nullptr || !m_targets.acceptsRequests(*target) || target->isBackingOff(m_now)) {
         return false;
     }
-    const bool isBeyondLimit = target->limit && !started->second.isPaced;
+    const bool isBeyondLimit = target->limit && !started->second.usesLimitShare;
     if (isBeyondLimit) {
         return false; // the limit was heard after the target was chosen
     }
-    const Route *route = routeInForce(open);
-    const Asker asker = askerOf(open.request, route);
+    const Route *route = currentRoute(open);
+    const CallerIdentity caller = identifyCaller(open.request, route);
     // What is about to leave names the tenant that held the key when the target was chosen.
-    return asker.isAllowed && open.tenant == asker.name() && leadsTo(*route, asker.tenant, *target);
+    return caller.isAllowed && open.tenant == caller.name() && leadsTo(*route, caller.tenant, *target);
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -18,71 +18,71 @@
 
 /// Bounds of what a caller is told to wait whose request is shut out. Sooner nothing can have changed; later than the
 /// first trial nobody knows.
-constexpr Milliseconds ShortestShutOutAdvice{1000};
-constexpr Milliseconds LongestShutOutAdvice = FirstTrialPause;
+constexpr Milliseconds MinQuarantineRetryAfter{1000};
+constexpr Milliseconds MaxQuarantineRetryAfter = FirstTrialPause;
 
 } // namespace
 
-void Balancer::Impl::suspect(const OpenRequest &open, const Attempt &attempt)
+void Balancer::Impl::checkForCrash(const OpenRequest &open, const Attempt &attempt)
 {
     if (open.request.digest.empty()) {
         return;
     }
-    const auto [it, isNew] = m_unchecked.try_emplace(attempt.target);
+    const auto [it, isNew] = m_pendingChecks.try_emplace(attempt.target);
     it->second.insert(open.request.digest);
     if (isNew) {
         m_out->emplace_back(CheckTarget{attempt.target, attempt.address});
     }
 }
 
-void Balancer::Impl::on(const TargetChecked &event)
+void Balancer::Impl::handle(const TargetChecked &event)
 {
-    const auto unchecked = m_unchecked.extract(event.target);
-    if (unchecked.empty() || !event.isConnectionRefused) {
+    const auto pending = m_pendingChecks.extract(event.target);
+    if (pending.empty() || !event.isConnectionRefused) {
         return;
     }
     m_targets.markUnreachable(event.target, m_now);
-    for (const std::string &digest : unchecked.mapped()) {
+    for (const std::string &digest : pending.mapped()) {
         if (m_quarantine.noteEnd(digest, event.target, m_now)) {
-            tellChange(digest, event.target.id, true);
+            publishSuspect(digest, event.target.id, true);
         }
     }
 }
 
-void Balancer::Impl::on(const SuspectsReceived &event)
+void Balancer::Impl::handle(const SuspectsReceived &event)
 {
     for (const SuspectReport &it : event.suspects) {
         if (m_quarantine.merge(it, false, m_now)) {
-            tellChange(it.digest, {}, false);
+            publishSuspect(it.digest, {}, false);
         }
     }
 }
 
 // A target may answer a failure of its own to what it has not run to its end.
-void Balancer::Impl::excuse(const OpenRequest &open)
+void Balancer::Impl::clearSuspicion(const OpenRequest &open)
 {
     if (m_quarantine.noteAnswer(open.request.digest)) {
-        tellChange(open.request.digest, {}, true);
+        publishSuspect(open.request.digest, {}, true);
     }
 }
 
-void Balancer::Impl::tellChange(const std::string &digest, const std::string &target, bool isLocal)
+void Balancer::Impl::publishSuspect(const std::string &digest, const std::string &target, bool isLocal)
 {
     m_out->emplace_back(
         SuspectChanged{digest, target, m_quarantine.endsUnder(digest), m_quarantine.standing(digest, m_now), isLocal});
 }
 
-bool Balancer::Impl::isShutOut(const OpenRequest &open) const
+bool Balancer::Impl::isQuarantined(const OpenRequest &open) const
 {
     const Standing standing = m_quarantine.standing(open.request.digest, m_now);
-    return !open.isTrial && (standing == Standing::ShutOut || standing == Standing::TrialDue);
+    return !open.isProbe && (standing == Standing::ShutOut || standing == Standing::TrialDue);
 }
 
 // Whether a request that was sent may also go to another target. A suspected one that may have run at the first is left
 // at that: an innocent caller tries again, and the guilty one would end a target more.
-bool Balancer::Impl::maySpread(const OpenRequest &open, AttemptOutcome outcome) const
+bool Balancer::Impl::mayUseAnotherTarget(const OpenRequest &open, AttemptOutcome outcome) const
 {
-    if (open.isTrial) {
+    if (open.isProbe) {
         return outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::Withdrawn;
     }
     const Standing standing = m_quarantine.standing(open.request.digest, m_now);
@@ -91,42 +91,42 @@
 
 // What was sent before goes on: if a target answers, the request is free again. Cancelled, one that many callers make
 // would stay shut out after the loss of a rack at which it ran.
-bool Balancer::Impl::holdBack(OpenRequest &open)
+bool Balancer::Impl::refuseOrProbe(OpenRequest &open)
 {
     const std::string &digest = open.request.digest;
-    if (!isShutOut(open)) {
+    if (!isQuarantined(open)) {
         return false;
     }
-    const auto isAskedFor = [&](const auto &it) {
-        return it.second.awaitsTrial && it.second.request.digest == digest;
+    const auto isProbeRequested = [&](const auto &it) {
+        return it.second.awaitsProbe && it.second.request.digest == digest;
     };
-    const bool isTrialDue = m_quarantine.standing(digest, m_now) == Standing::TrialDue;
-    if (!isTrialDue || std::any_of(m_open.begin(), m_open.end(), isAskedFor)) {
+    const bool isProbeDue = m_quarantine.standing(digest, m_now) == Standing::TrialDue;
+    if (!isProbeDue || std::any_of(m_open.begin(), m_open.end(), isProbeRequested)) {
         refuse(open, Refusal::Quarantined);
         return true;
     }
-    open.awaitsTrial = true;
+    open.awaitsProbe = true;
     m_out->emplace_back(RequestProbe{open.request.id, digest});
     m_open[static_cast<std::uint64_t>(open.request.id)] = std::move(open);
     return true;
 }
 
-void Balancer::Impl::on(const ProbeDecided &event)
+void Balancer::Impl::handle(const ProbeDecided &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
-    if (it == m_open.end() || !it->second.awaitsTrial) {
+    if (it == m_open.end() || !it->second.awaitsProbe) {
         return;
     }
     OpenRequest &open = it->second;
-    open.awaitsTrial = false;
+    open.awaitsProbe = false;
     Placement placement{nullptr, 0, Refusal::Quarantined};
-    if (event.isGranted && followRoutes(open)) {
+    if (event.isGranted && refreshRoute(open)) {
         m_quarantine.grantTrial(open.request.digest, m_now);
-        open.isTrial = true;
+        open.isProbe = true;
         open.affinity = 0; // the emptiest target: if it ends, the fewest others are lost with it
         placement = place(open);
     }
-    if (placement.target != nullptr && !isWithinQuota(open)) {
+    if (placement.target != nullptr && !chargeQuota(open)) {
         placement = {nullptr, 0, Refusal::OverQuota};
     }
     if (placement.target == nullptr) {
@@ -137,12 +137,12 @@
     startAttempt(open, placement);
 }
 
-Milliseconds Balancer::Impl::timeToTrial(const OpenRequest &open) const
+Milliseconds Balancer::Impl::timeUntilProbe(const OpenRequest &open) const
 {
     const std::optional<Duration> left = m_quarantine.untilTrial(open.request.digest, m_now);
-    const Duration advised = left.value_or(LongestShutOutAdvice);
+    const Duration advised = left.value_or(MaxQuarantineRetryAfter);
     return std::chrono::duration_cast<Milliseconds>(
-        std::clamp<Duration>(advised, ShortestShutOutAdvice, LongestShutOutAdvice));
+        std::clamp<Duration>(advised, MinQuarantineRetryAfter, MaxQuarantineRetryAfter));
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -22,17 +22,17 @@
 /// Part of the bound on cold targets that is used, since membership may be believed differently for a moment.
 constexpr double ColdMargin = 0.8;
 /// A target reports itself several times within it.
-constexpr std::chrono::seconds DoubtTime{6};
-constexpr Milliseconds FirstBlock{700};
-constexpr Milliseconds LongestBlock{4000};
+constexpr std::chrono::seconds ConfirmationTimeout{6};
+constexpr Milliseconds MinBlock{700};
+constexpr Milliseconds MaxBlock{4000};
 constexpr unsigned FailuresToBlock = 3;
 /// A longer rest counts as this one: a target must not be lost for good by one answer.
-constexpr std::chrono::minutes LongestRest{5};
+constexpr std::chrono::minutes MaxBackoff{5};
 /// Part of a rest over which hosts that were asked for it at the same moment come back, and the longest such time.
-constexpr double ReturnPart = 0.25;
-constexpr std::chrono::seconds LongestReturn{1};
+constexpr double ReturnSpreadShare = 0.25;
+constexpr std::chrono::seconds MaxReturnSpread{1};
 /// A caller is told to come back after so long where a target that has rested runs its first request.
-constexpr Milliseconds FirstAfterRest{200};
+constexpr Milliseconds RecoveryRetryAfter{200};
 
 } // namespace
 
@@ -48,8 +48,8 @@
     if (!load) {
         return inFlight;
     }
-    const double told = static_cast<double>(load->running) + load->waiting;
-    const double others = std::max(0.0, told - inFlightAtLoad);
+    const double reported = static_cast<double>(load->running) + load->waiting;
+    const double others = std::max(0.0, reported - inFlightAtLoad);
     const double halves = secondsOf(now - loadAt) / LoadHalfLife.count();
     return inFlight + others * std::exp2(-halves);
 }
@@ -83,8 +83,8 @@
 void TargetSet::apply(const RegistryChanges &changes, TimePoint now)
 {
     for (const AgedReport<TargetReport> &it : changes.targets) {
-        const auto [place, isNew] = m_targets.try_emplace(it.report.id);
-        TargetState &target = place->second;
+        const auto [entry, isNew] = m_targets.try_emplace(it.report.id);
+        TargetState &target = entry->second;
         if (!isNew && it.report.startedAt < target.report.startedAt) {
             continue;
         }
@@ -95,18 +95,18 @@
         if (!isNew && it.report.sequence < target.report.sequence && it.report.presence != Presence::Gone) {
             continue;
         }
-        const TimePoint heardAt = now - it.age;
-        const bool isEvidence = !target.presumedColdSince || heardAt > *target.presumedColdSince;
+        const TimePoint reportedAt = now - it.age;
+        const bool isEvidence = !target.presumedColdSince || reportedAt > *target.presumedColdSince;
         target.report = it.report;
         target.region = regionOf(it.report.zone);
         target.hash = hash64(it.report.id);
         target.isSilent = it.isSilent;
         if (isEvidence) {
-            setColdUntil(target, heardAt + it.report.coldLeft, now);
+            setColdUntil(target, reportedAt + it.report.coldLeft, now);
             target.presumedColdSince.reset();
         }
         if (it.report.presence == Presence::Gone && target.inFlight == 0) {
-            m_targets.erase(place);
+            m_targets.erase(entry);
         }
     }
     for (const AgedReport<HostReport> &it : changes.hosts) {
@@ -125,13 +125,13 @@
 // host was there to notice it is never heard of again, so nobody would say that it is gone.
 void TargetSet::markOthersUnconfirmed(const RegistryChanges &known, TimePoint now)
 {
-    std::unordered_map<std::string_view, Milliseconds> startOfKnown;
+    std::unordered_map<std::string_view, Milliseconds> knownStartTimes;
     for (const AgedReport<TargetReport> &it : known.targets) {
-        startOfKnown[it.report.id] = it.report.startedAt;
+        knownStartTimes[it.report.id] = it.report.startedAt;
     }
     for (auto &[id, target] : m_targets) {
-        const auto it = startOfKnown.find(id);
-        const bool isKnown = it != startOfKnown.end() && it->second >= target.report.startedAt;
+        const auto it = knownStartTimes.find(id);
+        const bool isKnown = it != knownStartTimes.end() && it->second >= target.report.startedAt;
         if (!isKnown) {
             target.unconfirmedSince = target.unconfirmedSince.value_or(now);
         }
@@ -147,9 +147,9 @@
 void TargetSet::setEvacuatedZones(const std::set<std::string> &zones, TimePoint now)
 {
     for (auto &[id, target] : m_targets) {
-        const bool isBack = m_evacuated.contains(target.report.zone) && !zones.contains(target.report.zone);
+        const bool hasEvacuationEnded = m_evacuated.contains(target.report.zone) && !zones.contains(target.report.zone);
         const ServiceTraits *traits = m_table ? m_table->service(target.report.service) : nullptr;
-        if (isBack && traits != nullptr) {
+        if (hasEvacuationEnded && traits != nullptr) {
             target.presumedColdSince = now;
             setColdUntil(target, std::max(target.coldUntil, now + traits->coldTime), now);
         }
@@ -157,17 +157,17 @@
     m_evacuated = zones;
 }
 
-bool TargetSet::takesWork(const TargetState &target) const
+bool TargetSet::acceptsRequests(const TargetState &target) const
 {
     return target.report.presence == Presence::Ready && !target.isLeaving && !m_evacuated.contains(target.report.zone);
 }
 
 bool TargetSet::isUsable(const TargetState &target, TimePoint now) const
 {
-    if (target.unconfirmedSince && now - *target.unconfirmedSince > DoubtTime) {
+    if (target.unconfirmedSince && now - *target.unconfirmedSince > ConfirmationTimeout) {
         return false;
     }
-    return takesWork(target) && !target.isSilent && !target.isRetired;
+    return acceptsRequests(target) && !target.isSilent && !target.isRetired;
 }
 
 bool TargetSet::warmsTarget(const HostReport &host, const TargetState &target) const
@@ -234,11 +234,11 @@
 
 TargetState *TargetSet::chooseAmong(std::vector<TargetState *> &candidates, const TargetQuery &query, TimePoint now)
 {
-    const auto fill = [now](const TargetState *it) {
+    const auto utilization = [now](const TargetState *it) {
         return (it->estimatedRequests(now) + 1) / it->slots();
     };
     const auto isEmptier = [&](const TargetState *lhs, const TargetState *rhs) {
-        return fill(lhs) < fill(rhs);
+        return utilization(lhs) < utilization(rhs);
     };
     if (query.affinity == 0) {
         return *std::min_element(candidates.begin(), candidates.end(), isEmptier);
@@ -252,7 +252,7 @@
     std::sort(ranked.begin(), ranked.end(), [](const auto &lhs, const auto &rhs) { return lhs.first > rhs.first; });
     std::vector<TargetState *> first;
     for (std::size_t n = 0; n < std::min<std::size_t>(m_settings.policy.targetsPerKey, ranked.size()); ++n) {
-        if (fill(ranked[n].second) <= query.admissibleUtilization) {
+        if (utilization(ranked[n].second) <= query.admissibleUtilization) {
             return ranked[n].second;
         }
         first.push_back(ranked[n].second);
@@ -262,7 +262,7 @@
 
 TargetChoice TargetSet::choose(const TargetQuery &query, TimePoint now)
 {
-    std::vector<TargetState *> open;
+    std::vector<TargetState *> available;
     std::vector<TargetState *> blocked;
     std::optional<Duration> soonest;
     for (auto &[id, target] : m_targets) {
@@ -276,11 +276,11 @@
             soonest = std::min(soonest.value_or(*wait), *wait);
             continue;
         }
-        const bool isDoubtful = now < target.blockedUntil || target.isUnresponsive(now, query.responseTimeout);
-        (isDoubtful ? blocked : open).push_back(&target);
+        const bool isUntrusted = now < target.blockedUntil || target.isUnresponsive(now, query.responseTimeout);
+        (isUntrusted ? blocked : available).push_back(&target);
     }
-    if (!open.empty()) {
-        return {chooseAmong(open, query, now), std::nullopt};
+    if (!available.empty()) {
+        return {chooseAmong(available, query, now), std::nullopt};
     }
     // All failed lately: the one whose turn to be tried again comes first.
     const auto it =
@@ -291,18 +291,18 @@
 }
 
 // Extends a rest that has begun, and never shortens it.
-Duration TargetSet::startBackoff(const Incarnation &incarnation, std::chrono::duration<double> rest, TimePoint now)
+Duration TargetSet::startBackoff(const Incarnation &incarnation, std::chrono::duration<double> backoff, TimePoint now)
 {
     TargetState *target = find(incarnation);
     if (target == nullptr) {
         return Duration(0);
     }
-    const std::chrono::duration<double> asked = std::min<std::chrono::duration<double>>(rest, LongestRest);
+    const std::chrono::duration<double> bounded = std::min<std::chrono::duration<double>>(backoff, MaxBackoff);
     const std::chrono::duration<double> spread =
-        std::min<std::chrono::duration<double>>(asked * ReturnPart, LongestReturn);
-    const double place = unitInterval(hash64(incarnation.id, m_settings.seed));
+        std::min<std::chrono::duration<double>>(bounded * ReturnSpreadShare, MaxReturnSpread);
+    const double phase = unitInterval(hash64(incarnation.id, m_settings.seed));
     target->backoffUntil =
-        std::max(target->backoffUntil, now + std::chrono::duration_cast<Duration>(asked + spread * place));
+        std::max(target->backoffUntil, now + std::chrono::duration_cast<Duration>(bounded + spread * phase));
     target->isRecovering = true;
     return target->backoffUntil - now;
 }
@@ -315,7 +315,7 @@
         return target.backoffUntil - now;
     }
     if (target.isRecovering && target.inFlight > 0) {
-        return FirstAfterRest;
+        return RecoveryRetryAfter;
     }
     return untilLimitAllows(target, query, now);
 }
@@ -477,10 +477,10 @@
         return;
     }
     const unsigned doublings = std::min(target.failures - FailuresToBlock, 4U);
-    target.blockedUntil = now + std::min<Duration>(FirstBlock * (1 << doublings), LongestBlock);
+    target.blockedUntil = now + std::min<Duration>(MinBlock * (1 << doublings), MaxBlock);
 }
 
-std::map<std::string, double> TargetSet::capacity(std::string_view service, std::optional<double> work,
+std::map<std::string, double> TargetSet::capacity(std::string_view service, std::optional<double> serviceTime,
                                                   TimePoint now) const
 {
     std::map<std::string, double> slots;
@@ -488,8 +488,8 @@
         if (target.report.service != service || !isUsable(target, now) || target.isBackingOff(now)) {
             continue;
         }
-        const bool isLimited = target.limit && work;
-        slots[target.region] += isLimited ? std::min(target.slots(), *target.limit * *work) : target.slots();
+        const bool isLimited = target.limit && serviceTime;
+        slots[target.region] += isLimited ? std::min(target.slots(), *target.limit * *serviceTime) : target.slots();
     }
     return slots;
 }
@@ -497,15 +497,15 @@
 void TargetSet::addRestored(const std::vector<TargetReport> &targets, TimePoint now)
 {
     for (const TargetReport &it : targets) {
-        const auto [place, isNew] = m_targets.try_emplace(it.id);
+        const auto [entry, isNew] = m_targets.try_emplace(it.id);
         if (!isNew) {
             continue;
         }
-        TargetState &target = place->second;
+        TargetState &target = entry->second;
         target.report = it;
         target.region = regionOf(it.zone);
         target.hash = hash64(it.id);
-        target.unconfirmedSince = now - (DoubtTime - RememberedTime);
+        target.unconfirmedSince = now - (ConfirmationTimeout - RememberedTime);
     }
 }
 
--- a/lib/Balance/TargetSet.h
+++ b/lib/Balance/TargetSet.h
@@ -90,7 +90,7 @@
     TargetState *find(const Incarnation &incarnation);
     const TargetState *find(const Incarnation &incarnation) const;
     /// Whether it has neither left nor begun to, and its zone is not evacuated.
-    bool takesWork(const TargetState &target) const;
+    bool acceptsRequests(const TargetState &target) const;
     /// Whether a target is in one of the regions; with none, each is.
     static bool isHome(const std::vector<std::string> &homeRegions, const TargetState &target);
 
@@ -103,7 +103,7 @@
     void markUnreachable(const Incarnation &incarnation, TimePoint now);
 
     /// A target wants nothing from this host for a while. Returns for how long it gets nothing.
-    Duration startBackoff(const Incarnation &incarnation, std::chrono::duration<double> rest, TimePoint now);
+    Duration startBackoff(const Incarnation &incarnation, std::chrono::duration<double> backoff, TimePoint now);
     /// A target names a limit of requests a second, or none any more.
     void setLimit(const Incarnation &incarnation, std::optional<double> perSecond);
     /// A target says in its answers that it leaves.
@@ -113,7 +113,8 @@
 
     /// Slots of usable targets by region. Of a limited target no more than its limit keeps busy, with requests that
     /// take `work` seconds each; nothing: that is not known.
-    std::map<std::string, double> capacity(std::string_view service, std::optional<double> work, TimePoint now) const;
+    std::map<std::string, double> capacity(std::string_view service, std::optional<double> serviceTime,
+                                           TimePoint now) const;
     /// What the entry hosts of each region ask of a service.
     std::map<std::string, double> demand(std::string_view service) const;
     std::size_t usable(TimePoint now) const;
--- a/lib/Balance/TokenBucket.h
+++ b/lib/Balance/TokenBucket.h
@@ -25,10 +25,10 @@
     }
 
     /// Whether an amount may be used now; more than the depth, whenever the bucket is full.
-    bool has(double amount, const BucketConfig &terms, TimePoint now)
+    bool has(double amount, const BucketConfig &config, TimePoint now)
     {
-        refill(terms, now);
-        return m_level >= std::min(amount, terms.depth);
+        refill(config, now);
+        return m_level >= std::min(amount, config.depth);
     }
 
     /// A negative amount gives back what was taken too much; what is beyond the depth is lost at the next call of has()
@@ -39,23 +39,23 @@
     }
 
     /// Until has() is true, as of its last call.
-    Duration timeUntil(double amount, const BucketConfig &terms) const
+    Duration timeUntil(double amount, const BucketConfig &config) const
     {
-        const double missing = std::max(0.0, std::min(amount, terms.depth) - m_level);
-        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / terms.perSecond));
+        const double missing = std::max(0.0, std::min(amount, config.depth) - m_level);
+        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / config.perSecond));
     }
 
-    void refill(const BucketConfig &terms, TimePoint now)
+    void refill(const BucketConfig &config, TimePoint now)
     {
-        const TimePoint filledAt = m_filledAt.value_or(now);
-        const std::chrono::duration<double> passed = std::max(Duration(0), now - filledAt);
-        m_level = std::min(terms.depth, m_level + terms.perSecond * passed.count());
-        m_filledAt = std::max(filledAt, now);
+        const TimePoint refilledAt = m_refilledAt.value_or(now);
+        const std::chrono::duration<double> passed = std::max(Duration(0), now - refilledAt);
+        m_level = std::min(config.depth, m_level + config.perSecond * passed.count());
+        m_refilledAt = std::max(refilledAt, now);
     }
 
 private:
     double m_level;
-    std::optional<TimePoint> m_filledAt; ///< nothing until it is first used
+    std::optional<TimePoint> m_refilledAt; ///< nothing until it is first used
 };
 
 } // namespace pepperlug::fleet
