--- a/include/pepperlug/Balance.h
+++ b/include/pepperlug/Balance.h
@@ -1,9 +1,9 @@
-//===- pepperlug/Balance.h - Requests to targets that report themselves ------===//
+//===- pepperlug/Balance.h - Load balancing at an entry host ------------------===//
 //
-// All decisions of an entry host about a request: its route, its service, the
-// region and the target, whether to admit it at all, and what to do when an
-// attempt ends. One reducer over typed events, with effects as data. Pure: time
-// and the random seed are passed in.
+// All decisions of an entry host about a request: its route, service, region and
+// target, whether it is admitted, and what happens when an attempt ends. The
+// balancer is a reducer over typed events that returns effects as data. It does
+// no I/O: the caller passes in the time and the random seed.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -18,23 +18,24 @@
 namespace pepperlug::fleet
 {
 
-/// How much more than one arrival a request all entry hosts together may cause.
+/// Limits of the retries that all entry hosts together may send.
 struct RetryBudgetSettings {
-    double ratio = 0.1; ///< of the requests in the window
+    double ratio = 0.1; ///< retries per request in the window
     Duration window = std::chrono::seconds(10);
-    double slack = 10; ///< retries in a window besides, over all hosts
+    double slack = 10; ///< additional retries in a window, over all hosts
 };
 
-/// Decisions that were weighed against others. Each can be set, so that what it is worth can be measured.
+/// Settings that choose between alternative algorithms.
 struct BalancePolicy {
-    /// Targets of a region that may serve a key: the next one only gets it where the one before would be late.
+    /// Number of targets in a region that may serve a key. A target is used only if all before it in the key's ranking
+    /// would answer late.
     unsigned targetsPerKey = 1;
-    /// Regions are chosen by weighted rendezvous hashing, so that a changed share moves no other key.
+    /// Chooses regions by weighted rendezvous hashing, so that a changed share moves no other key.
     bool hashesRegions = true;
-    /// Callers that were refused and waited are served late rather than never, where the answer is predicted to need no
-    /// more than this part of the time they have left; 0: only in time. Measured: docs/POLICY.md.
+    /// A returning caller is served late if the answer is predicted to take at most this share of its remaining time.
+    /// 0: only requests that will be answered in time are admitted.
     double lateDeadlineShare = 0.35;
-    /// Refused callers are told to come back when the queue that they met will have drained.
+    /// Tells refused callers to retry when the queue that they met will have drained.
     bool derivesRetryAfterFromQueue = true;
 };
 
@@ -44,14 +45,15 @@
     std::map<std::string, std::string> regionOfZone;
     RetryBudgetSettings retries;
     QuotaTerms quotas;
-    double maxShift = 0.15; ///< part of a region's requests that may move to other regions from one window to the next
+    /// Largest share of a region's requests that may move to other regions from one window to the next.
+    double maxShift = 0.15;
     Duration shiftWindow = std::chrono::seconds(2);
-    std::uint64_t linkBytesPerSecond = 0; ///< of this host's link, both ways together; 0 if it need not be minded
+    std::uint64_t linkBytesPerSecond = 0; ///< capacity of this host's link, both directions together; 0: unlimited
     std::uint64_t seed = 0;
-    /// Age from which on this host must take it that routes were added of which it has not heard; and the longest time
-    /// for which it decides by routing after it has heard of a newer one.
+    /// Age of the last update after which routes may have been added that this host does not have; and the longest time
+    /// for which it uses its routing after it has learnt that a newer one exists.
     Duration updateLease = NewsLease;
-    Duration firstProbeDelay = FirstTrialPause; ///< of a request that is shut out
+    Duration firstProbeDelay = FirstTrialPause; ///< of a quarantined request
     BalancePolicy policy;
 };
 
@@ -64,16 +66,17 @@
 
 struct ReportsChanged {
     RegistryChanges changes;
-    bool isSnapshot = false; ///< all that the telling host knows, not only what changed
-    std::vector<RegionDemand> demand{}; ///< of all regions; empty if nothing is told of it
-    std::vector<TargetReport> restored{}; ///< targets that nobody has confirmed since the control hosts' restart
+    bool isSnapshot = false; ///< `changes` holds everything that the reporting host knows, not only changes
+    std::vector<RegionDemand> demand{}; ///< of all regions; empty: unchanged
+    std::vector<TargetReport> restored{}; ///< targets that are not confirmed since the control hosts' restart
 };
 
-/// A control host in touch with a majority told what was new.
+/// A control host that has a quorum has sent its updates.
 struct UpdateReceived {
-    TimePoint requestedAt{}; ///< all that it knew then is known here
-    std::optional<TimePoint> behindSince{}; ///< when this host heard of the oldest routing that it has not got
-    bool isArriving = true; ///< what it has not got is on its way; false: it can't be read here
+    TimePoint requestedAt{}; ///< this host has everything that the control host knew at that time
+    /// When this host learnt of the oldest routing version that it does not have; nothing if it has all.
+    std::optional<TimePoint> behindSince{};
+    bool isArriving = true; ///< the missing routing is being transferred; false: this host can't read it
 };
 
 struct CallerRequest {
@@ -81,35 +84,35 @@
     std::string host;
     std::string path;
     std::string affinityKey; ///< empty: none
-    std::optional<Duration> deadline; ///< time that the caller will wait
-    std::string digest{}; ///< digestOf() it; empty: it is like no other
-    std::string keyDigest{}; ///< digestOfSecret() of the caller's key; empty: it shows none
+    std::optional<Duration> deadline; ///< how long the caller waits for an answer
+    std::string digest{}; ///< digestOf() the request; empty: it matches no other request
+    std::string keyDigest{}; ///< digestOfSecret() of the caller's key; empty: the request has no key
 };
 
 struct CallerLeft {
     RequestId id{};
 };
 
-/// What came of an attempt.
+/// Outcome of an attempt.
 enum class AttemptOutcome : std::uint8_t {
-    Answered, ///< a whole answer for the caller
+    Answered, ///< the target sent a complete answer
     NotSent, ///< no byte reached the target
-    Withdrawn, ///< not sent, since maySend() did not allow it any more
-    Shed, ///< the target says that it did not run the request
+    Withdrawn, ///< not sent because maySend() no longer allowed it
+    Shed, ///< the target states that it did not run the request
     WrongTarget, ///< another incarnation is at the address; not run
     Lost, ///< may have run; no usable answer
     TimedOut, ///< may have run; no answer in time
 };
 const char *nameOf(AttemptOutcome outcome);
 
-/// Load that a target told with an answer.
+/// Load that a target reported with an answer, in requests.
 struct TargetLoad {
     unsigned running = 0;
     unsigned waiting = 0;
     unsigned slots = 0;
 };
 
-/// The head of a large, good answer is there; its body is passed on while it arrives.
+/// The head of a large successful answer has arrived. The body is streamed to the caller as it arrives.
 struct AnswerBegun {
     RequestId id{};
     unsigned attempt = 0;
@@ -121,39 +124,39 @@
     AttemptOutcome outcome{};
     std::optional<TargetLoad> load;
     std::uint64_t answerBytes = 0; ///< length of the body
-    bool isConnectionLost = false; ///< Lost: the target's side ended the connection, or it was reset
-    bool isFailure = false; ///< Answered: by a status that tells of the target's own failure
+    bool isConnectionLost = false; ///< Lost: the target closed or reset the connection
+    bool isFailure = false; ///< Answered: with a status that reports a failure of the target itself
 };
 
-/// What came of CheckTarget.
+/// Result of CheckTarget.
 struct TargetChecked {
     Incarnation target;
     bool isConnectionRefused = false; ///< nothing listens at its address
 };
 
-/// The head of a target's answer is there, also of one that nobody waits for any more.
+/// The head of a target's answer has arrived, also if no request waits for the answer any more.
 struct TargetSignalled {
     Incarnation target;
     BackpressureSignal signal;
     TimePoint sentAt{}; ///< when the request was sent, or earlier
 };
 
-/// Control hosts told what targets ask for in answers to other hosts.
+/// Control hosts have reported the backpressure that targets signalled to other hosts.
 struct BackpressureReceived {
     std::vector<BackpressureReport> reports;
 };
 
-/// Another host told of requests under which targets ended.
+/// Another host has reported requests under which targets crashed.
 struct SuspectsReceived {
     std::vector<SuspectReport> suspects;
 };
 
-/// Control hosts told what all entry hosts together are asked for in tenants' names.
+/// Control hosts have reported the load of tenants over all entry hosts.
 struct TenantLoadsReceived {
-    std::vector<TenantLoad> loads; ///< of those that come near their limits
+    std::vector<TenantLoad> loads; ///< of tenants near their limits
 };
 
-/// What came of RequestProbe.
+/// Result of RequestProbe.
 struct ProbeDecided {
     RequestId id{};
     bool isGranted = false;
@@ -172,17 +175,17 @@
     RequestId id{};
     unsigned attempt = 0; ///< 1 for the first
     std::string target;
-    Milliseconds targetStartedAt{}; ///< with the target's id, one incarnation
+    Milliseconds targetStartedAt{}; ///< identifies the incarnation, with the target's id
     std::string address;
     std::string zone;
     std::string service;
-    std::uint64_t tableVersion = 0; ///< of the table whose route led there
-    bool hasHomeRegions = false; ///< that route or the tenant names home regions
-    bool hasTenants = false; ///< that table has tenants, so the caller's key is not shown to the target
-    std::string tenant; ///< in whose name the caller asks; empty: nobody's
-    Duration timeLeft{}; ///< of the caller's deadline and the route's time limit
-    double utilization = 0; ///< requests at the target over its slots, as believed
-    Milliseconds loadAge{}; ///< of the belief
+    std::uint64_t tableVersion = 0; ///< of the table that the route is from
+    bool hasHomeRegions = false; ///< the route or the tenant names home regions
+    bool hasTenants = false; ///< the table has tenants, so the caller's key is not passed to the target
+    std::string tenant; ///< that the request is counted for; empty: none
+    Duration timeLeft{}; ///< until the caller's deadline or the route's timeout
+    double utilization = 0; ///< estimated requests at the target, this one included, over its slots
+    Milliseconds loadAge{}; ///< of the load report that the estimate is based on; -1 ms: there is none
 };
 
 struct CancelAttempt {
@@ -190,84 +193,84 @@
     unsigned attempt = 0;
 };
 
-/// Look whether anything listens at the address of a target whose connection ended under a request.
+/// Checks whether anything listens at the address of a target whose connection ended during a request.
 struct CheckTarget {
     Incarnation target;
     std::string address;
 };
 
-/// Ask the control hosts whether a request that is shut out may be tried once.
+/// Asks the control hosts whether a quarantined request may be sent once as a probe.
 struct RequestProbe {
     RequestId id{};
     std::string digest;
 };
 
-/// What this host knows of a request under which targets ended has changed.
+/// The state of a request under which targets crashed has changed at this host.
 struct SuspectChanged {
     std::string digest;
-    std::string target; ///< that ended; empty if something else changed
-    std::size_t crashes = 0; ///< that speak against it
+    std::string target; ///< that crashed; empty if something else changed
+    std::size_t crashes = 0; ///< that count against the request
     Standing standing{};
-    bool isLocal = false; ///< noticed here, so other hosts have to be told
+    bool isLocal = false; ///< observed by this host, which must report it to other hosts
 };
 
-/// A target has asked this host for a rest.
+/// A target has asked this host to back off.
 struct BackoffStarted {
     std::string target;
-    Milliseconds length{}; ///< until this host sends there again
+    Milliseconds length{}; ///< until this host sends requests to the target again
 };
 
-/// What this host knows of a target's limit has changed, or it leaves.
+/// A target's rate limit as known to this host has changed, or the target is leaving.
 struct BackpressureChanged {
     std::string target;
-    std::optional<double> perSecond; ///< nothing: it is not limited
+    std::optional<double> perSecond; ///< requests per second; nothing: it is not limited
     bool isLeaving = false;
-    bool isLocal = false; ///< heard here, so other hosts have to be told
+    bool isLocal = false; ///< observed by this host, which must report it to other hosts
 };
 
-/// Pass on the head of the answer that an attempt gets, and its body as it comes.
+/// Sends the head of an attempt's answer to the caller, and its body as it arrives.
 struct PassHead {
     RequestId id{};
     unsigned attempt = 0;
 };
 
-/// Pass on the answer that an attempt got, or the end of one that was begun.
+/// Sends an attempt's answer to the caller, or the rest of one whose head was sent.
 struct PassAnswer {
     RequestId id{};
     unsigned attempt = 0;
 };
 
 enum class Refusal : std::uint8_t {
-    NoConfiguration, ///< none is known yet
+    NoConfiguration, ///< this host has no configuration yet
     NoRoute,
-    UnknownKey, ///< its route needs a key of a tenant, and it shows none
-    RoutingLate, ///< no route that is known here, but there may be newer ones
-    RouteChanged, ///< its route or its key was removed before it could be sent; not run
-    OverQuota, ///< its tenant has used up what it may
+    UnknownKey, ///< the route needs a tenant's key, and the request has none
+    RoutingLate, ///< no route is known here, but newer routing may have one
+    RouteChanged, ///< the route or the key was removed before the request could be sent; not run
+    OverQuota, ///< the tenant has reached its rate limit
     NoTarget, ///< no usable target of the service
     Overloaded, ///< would not be served within the objective
-    Backpressure, ///< targets asked for less than comes
-    LinkFull, ///< this host's link has no room for an answer of this size
-    Quarantined, ///< targets ended under it, wherever it ran; not run
+    Backpressure, ///< targets advertise limits below the demand, or asked for back-off
+    LinkFull, ///< this host's link has no capacity left for an answer of this size
+    Quarantined, ///< several targets crashed while they ran the request; not run
     NotReached, ///< no target could be reached in time; not run
-    Stopping, ///< this host is about to end; not run
+    Stopping, ///< this host is shutting down; not run
     Lost, ///< may have run
     TimedOut, ///< may have run
 };
 const char *nameOf(Refusal refusal);
-/// Whether the refusal promises that the request has not run and never will.
+/// Returns true if the refusal guarantees that the request has not run and never will.
 bool promisesNotRun(Refusal refusal);
 
 struct RefuseRequest {
     RequestId id{};
     Refusal reason{};
-    Milliseconds retryAfter{}; ///< with a refusal that promises "not run"
+    Milliseconds retryAfter{}; ///< if promisesNotRun() and a retry may succeed; 0 otherwise
     std::string route; ///< name; empty if none
     std::string lastTarget; ///< of the last attempt; empty if none
-    std::string tenant; ///< in whose name the caller asks; empty: nobody's, or not known yet
+    std::string tenant; ///< that the request is counted for; empty: none, or not known yet
 };
 
-/// Close the caller's connection: the answer that was begun can't be finished.
+/// Closes the caller's connection because the rest of an answer can't be delivered.
 struct AbortAnswer {
     RequestId id{};
     Refusal reason{}; ///< Lost or TimedOut
@@ -278,6 +281,7 @@
                  BackpressureChanged, PassHead, PassAnswer, AbortAnswer, RefuseRequest>;
 using BalanceEffects = std::vector<BalanceEffect>;
 
+/// State of an entry host's load balancing.
 class Balancer
 {
 public:
@@ -286,30 +290,30 @@
     Balancer(const Balancer &) = delete;
     Balancer &operator=(const Balancer &) = delete;
 
-    /// Applies one event and appends what is to be done, in order.
+    /// Applies one event and appends the resulting effects in order.
     void reduce(const BalanceEvent &event, TimePoint now, BalanceEffects &out);
 
-    /// Requests that have not ended.
+    /// Number of requests in progress.
     std::size_t openRequests() const;
-    /// What this host asks of each service, in slots.
+    /// Demand of this host's callers on each service, in slots.
     std::vector<ServiceDemand> demand(TimePoint now) const;
-    /// Part of this host's link that the answers which callers ask for would use; 0 if it need not be minded.
+    /// Share of this host's link that the requested answers would use; 0 if the link is unlimited.
     double linkUse(TimePoint now) const;
     std::uint64_t tableVersion() const;
-    /// Whether nothing is sent or denied, since newer routing has not arrived in time.
+    /// Returns true if this host neither sends nor denies requests because newer routing has not arrived in time.
     bool isSuspended() const;
-    /// Whether an attempt that has not left yet may still be sent: its target takes work, and the route that is in
-    /// force now leads there.
+    /// Returns true if an attempt that is not sent yet may still be sent: its target accepts requests, and the current
+    /// route leads there.
     bool maySend(RequestId id, unsigned attempt) const;
-    /// Targets that may be used now, of all services.
+    /// Number of targets that may be used now, over all services.
     std::size_t usableTargets(TimePoint now) const;
-    /// Requests under which targets ended.
+    /// Requests under which targets crashed.
     const Quarantine &quarantine() const;
-    /// What targets ask for.
+    /// Backpressure that targets advertise.
     const BackpressureTable &backpressure() const;
-    /// What this host is asked for in tenants' names, to be told to control hosts.
+    /// Demand of tenants at this host, to be reported to control hosts.
     std::vector<TenantDemand> tenantDemand(TimePoint now);
-    /// Whether that has grown so much that they should hear of it at once.
+    /// Returns true if a tenant's demand has grown so much that it should be reported at once.
     bool hasTenantSurged(TimePoint now) const;
 
 private:
--- a/lib/Balance/Admission.cpp
+++ b/lib/Balance/Admission.cpp
@@ -1,4 +1,4 @@
-//===- Admission.cpp - Which requests are let in --------------------------===//
+//===- Admission.cpp - Admission control ----------------------------------===//
 #include "Admission.h"
 
 #include <algorithm>
@@ -9,18 +9,20 @@
 namespace
 {
 
-/// Part of the objective that a request may be predicted to use; less urgent ones leave room for urgent ones.
+/// Shares of the objective that a request may be predicted to take. Less urgent requests leave capacity for urgent
+/// ones.
 constexpr double MaxObjectiveShare = 0.9;
 constexpr double LessUrgentMaxObjectiveShare = 0.75;
-/// Fill up to which a request is let in whatever the prediction says: it gets a slot at once.
+/// Utilization up to which a request is admitted whatever the prediction: a slot is free for it.
 constexpr double FreeUtilization = 1.0;
 constexpr double LessUrgentFreeUtilization = 0.9;
-/// A work time below it, in seconds, counts as this: it only keeps the division defined.
+/// Lower bound of the service time in seconds; avoids a division by zero.
 constexpr double MinServiceTime = 1e-6;
 
 } // namespace
 
-// A target that does not remember the key is late in any case, but learns it; the wait is that of the mean request.
+// The prediction uses the service time of a warm target: a cold one answers late in any case, but caches the key's
+// data. The queue ahead consists of mean requests.
 double admissibleUtilization(const AdmissionQuery &query)
 {
     const double freeUtilization = query.isUrgent ? FreeUtilization : LessUrgentFreeUtilization;
--- a/lib/Balance/Admission.h
+++ b/lib/Balance/Admission.h
@@ -1,8 +1,8 @@
-//===- Admission.h - Which requests are let in ------------------*- C++ -*-===//
+//===- Admission.h - Admission control ---------------------------*- C++ -*-===//
 //
-// A target serves its queue in order, so what waits there delays whatever comes
-// later. A request is let in while it can be expected to be answered in time;
-// one whose caller was refused before also where its answer would be late.
+// A target serves its queue in order, so waiting requests delay all later ones.
+// A request is admitted if its answer is predicted to be in time. A request of a
+// caller that was refused before may also be admitted with a late answer.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -12,18 +12,20 @@
 namespace pepperlug::fleet
 {
 
-/// What is known of a request that asks to be let in.
+/// Input of an admission decision.
 struct AdmissionQuery {
-    Duration objectiveLeft{}; ///< time in which its answer is still in time
-    Duration timeLeft{}; ///< time in which its answer is of any use
-    Duration extraLatency{}; ///< to the target and back, beyond what a target nearby takes
-    std::optional<Duration> warmServiceTime; ///< at a target that remembers the key; nothing while too little was seen
-    std::optional<Duration> serviceTime; ///< mean
+    Duration objectiveLeft{}; ///< until the answer would be late
+    Duration timeLeft{}; ///< until the answer would be useless
+    Duration extraLatency{}; ///< round trip beyond that of a target in the same region
+    /// At a target that has the key's data cached; nothing while there are too few samples.
+    std::optional<Duration> warmServiceTime;
+    std::optional<Duration> serviceTime; ///< mean; nothing while there are too few samples
     bool isUrgent = false; ///< no route of the service is more urgent
-    double lateDeadlineShare = 0; ///< of the time left that the answer may be predicted to use even if it is late then
+    double lateDeadlineShare = 0; ///< of `timeLeft`, that a late answer may be predicted to take; 0: none
 };
 
-/// Requests over slots at a target, this one included, up to which a request is let in.
+/// Returns the highest utilization of a target (requests, this one included, over slots) at which a request is
+/// admitted.
 double admissibleUtilization(const AdmissionQuery &query);
 
 } // namespace pepperlug::fleet
