--- a/lib/Balance/RegionPlan.cpp
+++ b/lib/Balance/RegionPlan.cpp
@@ -1,4 +1,4 @@
-//===- RegionPlan.cpp - Spill between regions -----------------------------===//
+//===- RegionPlan.cpp - Traffic shares of regions -------------------------===//
 #include "RegionPlan.h"
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 namespace
 {
 
-/// Part of a region's slots up to which it serves its own callers before it sends any away.
+/// Utilization up to which a region serves all of its own callers.
 constexpr double FullUtilization = 0.6;
-/// Below this a region is treated as having no room.
+/// Spare slots below which a region counts as full.
 constexpr double MinSpareSlots = 0.5;
 
 double valueOr0(const std::map<std::string, double> &values, const std::string &key)
@@ -53,7 +53,7 @@
         return {};
     }
     const double wanted = valueOr0(demand, region);
-    // All regions are filled to the same level when there is more demand than room.
+    // All regions get the same utilization when the total demand exceeds FullUtilization.
     const double level = std::max(FullUtilization, totalDemand / totalCapacity);
     const double kept = wanted <= 0 ? 1.0 : std::min(1.0, own * level / wanted);
     RegionShares shares;
@@ -88,7 +88,7 @@
     if (planned.empty()) {
         return;
     }
-    // The first plan is taken whole, and a region without any target is left at once.
+    // The first plan is adopted as a whole, and traffic leaves a region without targets at once.
     const bool leavesEmptyRegion = std::any_of(m_shares.begin(), m_shares.end(), [&](const auto &it) {
         return it.second > 0 && valueOr0(capacity, it.first) <= 0;
     });
--- a/lib/Balance/RegionPlan.h
+++ b/lib/Balance/RegionPlan.h
@@ -1,8 +1,8 @@
-//===- RegionPlan.h - Parts of the requests that go to each region -*- C++ -*-===//
+//===- RegionPlan.h - Traffic shares of regions -----------------*- C++ -*-===//
 //
-// Requests stay in their own region while it can serve them; what it can't serve
-// is spread over the room of the others. The parts move slowly, since a large
-// move of traffic meets caches that don't know it.
+// Requests stay in their own region while it can serve them; the excess is spread
+// over the spare capacity of other regions. The shares move slowly, since a large
+// shift of traffic meets caches that don't hold its data.
 //
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -12,25 +12,26 @@
 namespace pepperlug::fleet
 {
 
-/// Parts of one region's requests by the region that serves them; they sum to 1.
+/// Shares of one region's requests by the region that serves them. The sum is 1.
 using RegionShares = std::map<std::string, double>;
 
-/// What each region should send where, so that no region is filled above the others without need. Regions that can
-/// serve their own demand up to `FullRegion` of their slots keep it.
+/// Computes which regions should serve a region's requests, so that no region has a higher utilization than the others
+/// without need. A region whose demand is at most `FullUtilization` of its slots serves all of it. `capacity` and
+/// `demand` are in slots, by region.
 RegionShares plannedShares(const std::string &region, const std::map<std::string, double> &capacity,
                            const std::map<std::string, double> &demand);
 
-/// The shares in use, which follow the plan at a bounded speed.
+/// Shares in use, which approach the planned shares at a bounded rate.
 class RegionPlan
 {
 public:
-    /// `maxStep`: part of the requests that may move to other regions in a second.
+    /// `maxStep`: share of the requests that may move to other regions in a second.
     explicit RegionPlan(double maxStep);
 
     void moveTowards(const RegionShares &planned, const std::map<std::string, double> &capacity, TimePoint now);
     /// Region for a point in [0, 1); empty while there is no plan.
     std::string regionAt(double point) const;
-    /// Region for a key, by weighted rendezvous hashing: where a share grows keys come, and no others move.
+    /// Region for a key, by weighted rendezvous hashing: a region whose share grows gains keys, and no other key moves.
     std::string regionForKey(std::uint64_t key) const;
     const RegionShares &shares() const;
 
--- a/lib/Balance/RetryBudget.h
+++ b/lib/Balance/RetryBudget.h
@@ -1,4 +1,4 @@
-//===- RetryBudget.h - How often a request may be sent again ----*- C++ -*-===//
+//===- RetryBudget.h - Limit of retries -------------------------*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Balance.h"
@@ -6,8 +6,8 @@
 namespace pepperlug::fleet
 {
 
-/// Counts one service's requests and retries at one host over a sliding window. The slack of all hosts is divided by
-/// their number; hosts that restart begin with nothing counted, so only a part of it is ever used.
+/// Retry budget of one service at one host over a sliding window. The slack is divided by the number of hosts. A host
+/// that restarts begins with empty counters, so only a share of the budget is used.
 class RetryBudget
 {
 public:
@@ -22,7 +22,7 @@
         drop(now);
     }
 
-    /// Takes one retry if the budget has one.
+    /// Takes one retry from the budget. Returns false if none is left.
     bool take(TimePoint now, std::size_t hosts)
     {
         drop(now);
--- a/lib/Balance/RouteStats.h
+++ b/lib/Balance/RouteStats.h
@@ -1,4 +1,4 @@
-//===- RouteStats.h - What an entry host saw of its requests ----*- C++ -*-===//
+//===- RouteStats.h - Request statistics of an entry host -------*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Support.h"
@@ -10,11 +10,11 @@
 namespace pepperlug::fleet
 {
 
-/// How long a route's requests take at a target that is not overfull.
+/// Service times, without queueing, answer sizes and deadlines of a route's requests.
 class RouteStats
 {
 public:
-    /// `fill`: requests over slots at the target when the attempt began; above 1 a part of the time was waiting.
+    /// `utilization`: requests over slots at the target when the attempt began; above 1, a part of `took` was queueing.
     void addServiceTime(Duration took, double utilization)
     {
         const double serviceTime = std::chrono::duration<double>(took).count() / std::max(1.0, utilization);
@@ -22,7 +22,7 @@
         if (m_count == 0) {
             m_warmServiceTime = serviceTime;
         }
-        // Moves until the wanted part of the times lies below.
+        // Converges to the quantile WarmQuantile of the service times.
         m_warmServiceTime *= serviceTime < m_warmServiceTime ? 1 - Step * (1 - WarmQuantile) : 1 + Step * WarmQuantile;
         ++m_count;
     }
@@ -33,13 +33,13 @@
         m_answerBytes = m_answerBytes <= 0 ? size : m_answerBytes + (size - m_answerBytes) * Weight;
     }
 
-    /// `left`: time that a caller had left when its request came.
+    /// `left`: time that the caller had left when its request arrived.
     void addDeadline(Duration left)
     {
         m_deadlines[m_deadlineCount++ % m_deadlines.size()] = std::chrono::duration<float>(left).count();
     }
 
-    /// Time that callers have who come for the first time; nothing while too little was seen.
+    /// Deadline that most callers have at their first try; nothing while there are too few samples.
     std::optional<Duration> firstTryDeadline() const
     {
         const std::size_t n = std::min<std::size_t>(m_deadlineCount, m_deadlines.size());
@@ -52,13 +52,13 @@
         return std::chrono::duration_cast<Duration>(std::chrono::duration<float>(*it));
     }
 
-    /// Mean size of an answer; 0 while none was seen.
+    /// Mean size of an answer; 0 while there is no sample.
     double answerBytes() const
     {
         return m_answerBytes;
     }
 
-    /// Time at a target that remembers the request's key; nothing while too little was seen.
+    /// Service time at a target that has the key's data cached; nothing while there are too few samples.
     std::optional<Duration> warmServiceTime() const
     {
         if (m_count < MinSamples) {
@@ -67,7 +67,7 @@
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(m_warmServiceTime));
     }
 
-    /// Mean time; nothing while too little was seen.
+    /// Mean service time; nothing while there are too few samples.
     std::optional<Duration> serviceTime() const
     {
         if (m_count < MinSamples) {
@@ -81,21 +81,21 @@
     static constexpr unsigned MinSamples = 5;
     static constexpr double WarmQuantile = 0.3;
     static constexpr double Step = 0.05;
-    /// Under load up to half of the requests are from callers that were refused before, with less time left; a few
-    /// callers are more patient than the rest. Between the two lies what most have at first.
+    /// Under load, up to half of the requests come from callers that were refused before and have less time left, and a
+    /// few callers have longer deadlines than the rest. The deadline of most first tries lies in between.
     static constexpr double FirstTryQuantile = 0.75;
-    /// Enough for a quantile of 0.75, and sorted with each request.
+    /// Enough for a quantile of 0.75; not more, since each request partially sorts them.
     static constexpr std::size_t DeadlineSamples = 32;
 
     double m_serviceTime = 0;
     double m_answerBytes = 0;
     double m_warmServiceTime = 0;
     unsigned m_count = 0;
-    std::array<float, DeadlineSamples> m_deadlines{}; ///< s, of the latest requests
+    std::array<float, DeadlineSamples> m_deadlines{}; ///< seconds, of the latest requests
     unsigned m_deadlineCount = 0;
 };
 
-/// Bounds the part of the requests that leave their region besides the plan.
+/// Bounds the share of requests that leave their region outside the plan.
 class ShiftAllowance
 {
 public:
--- a/lib/Balance/TokenBucket.h
+++ b/lib/Balance/TokenBucket.h
@@ -1,4 +1,4 @@
-//===- TokenBucket.h - What may be used at once and with time ---*- C++ -*-===//
+//===- TokenBucket.h - Token bucket -----------------------------*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Support.h"
@@ -9,13 +9,13 @@
 namespace pepperlug::fleet
 {
 
-/// How a bucket fills.
+/// Rate and capacity of a token bucket.
 struct BucketConfig {
     double perSecond = 0;
-    double depth = 0; ///< most that it holds
+    double depth = 0; ///< largest level
 };
 
-/// Fills with time and is emptied by use. Its terms may change from call to call.
+/// Token bucket whose configuration may change from call to call.
 class TokenBucket
 {
 public:
@@ -24,21 +24,20 @@
     {
     }
 
-    /// Whether an amount may be used now; more than the depth, whenever the bucket is full.
+    /// Returns true if an amount may be taken now. An amount above the depth needs a full bucket.
     bool has(double amount, const BucketConfig &config, TimePoint now)
     {
         refill(config, now);
         return m_level >= std::min(amount, config.depth);
     }
 
-    /// A negative amount gives back what was taken too much; what is beyond the depth is lost at the next call of has()
-    /// or refill().
+    /// Takes an amount; a negative one is a refund. The next call of has() or refill() drops what exceeds the depth.
     void take(double amount)
     {
         m_level -= amount;
     }
 
-    /// Until has() is true, as of its last call.
+    /// Time until has() returns true, as of the last refill.
     Duration timeUntil(double amount, const BucketConfig &config) const
     {
         const double missing = std::max(0.0, std::min(amount, config.depth) - m_level);
@@ -55,7 +54,7 @@
 
 private:
     double m_level;
-    std::optional<TimePoint> m_refilledAt; ///< nothing until it is first used
+    std::optional<TimePoint> m_refilledAt; ///< nothing until the first use
 };
 
 } // namespace pepperlug::fleet
