--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -1,4 +1,4 @@
-//===- Backpressures.cpp - What targets ask for, at an entry host ---------===//
+//===- Backpressures.cpp - Backpressure of targets at an entry host -------===//
 #include "Impl.h"
 
 namespace pepperlug::fleet
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Of the newest answer in the mean time that a service's requests take.
+/// Weight of the newest answer in the mean service time.
 constexpr double ServiceTimeWeight = 0.02;
 
 } // namespace
@@ -50,7 +50,7 @@
         BackpressureChanged{target.id, m_backpressure.limitOf(target), m_backpressure.isLeaving(target), isLocal});
 }
 
-// What a target asks for may be known before the target is.
+// A target's backpressure may be known before the target itself.
 void Balancer::Impl::applyKnownBackpressure()
 {
     for (const BackpressureReport &it : m_backpressure.changedSince(0, NewsReader::EntryHost, m_now)) {
@@ -65,7 +65,7 @@
     }
 }
 
-// What a limit of requests a second keeps busy of a target's slots depends on how long they take.
+// The number of slots that a rate limit can occupy depends on the service time.
 void Balancer::Impl::recordServiceTime(const OpenRequest &open, Duration took)
 {
     const auto [mean, isNew] = m_meanServiceTime.try_emplace(open.service, secondsOf(took));
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -1,8 +1,8 @@
-//===- Balancer.cpp - Life of a request at an entry host ------------------===//
+//===- Balancer.cpp - Life cycle of a request at an entry host ------------===//
 //
-// A request that may run only once is sent to a second target only where the first is certain not to have run it. One
-// that may be repeated is also sent again after a loss, within the retry budget; and when its target has fallen silent,
-// to a second target beside the first.
+// A request that may run only once is sent to a second target only if the first has certainly not run it. A repeatable
+// request is also retried after a loss, within the retry budget; if its target is unresponsive, it is hedged: sent to a
+// second target while the first attempt continues.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -14,10 +14,10 @@
 namespace
 {
 
-/// A first attempt at a silent target is doubled after this many work times.
+/// Service times without an answer after which an attempt is hedged.
 constexpr int HedgeTimeoutFactor = 3;
 constexpr Milliseconds MinHedgeTimeout{500};
-/// Of an answer's head and the packets around it, about.
+/// Approximate size of an answer's head and the packet overhead.
 constexpr double AnswerHeadBytes = 600;
 
 } // namespace
@@ -220,7 +220,7 @@
     m_out->emplace_back(std::move(effect));
 }
 
-// The later a caller comes back the less of its time is left; a little chance keeps callers apart.
+// The later a caller retries the less time it has left, so the advice is short; a random part spreads the callers.
 Milliseconds Balancer::Impl::retryAfter(const OpenRequest &open, Refusal reason, Duration drainTime)
 {
     if (reason == Refusal::LinkFull) {
@@ -260,7 +260,7 @@
     m_out->emplace_back(std::move(effect));
 }
 
-// What was passed on can't be taken back, so its caller has to see that it is not whole.
+// What was sent to the caller can't be taken back, so the caller must see that the answer is incomplete.
 void Balancer::Impl::failRequest(OpenRequest &open, Refusal reason)
 {
     if (open.hasAnswerBegun) {
@@ -289,7 +289,7 @@
     m_open.erase(it);
 }
 
-// Each retry that may arrive at a target is taken from the budget that all entry hosts share.
+// Each retry after an attempt that may have reached its target is taken from the budget that all entry hosts share.
 bool Balancer::Impl::mayRetry(const OpenRequest &open, AttemptOutcome outcome)
 {
     if (open.hasAnswerBegun || !mayUseAnotherTarget(open, outcome)) {
@@ -359,7 +359,7 @@
     open.mayHaveRun |=
         open.hasAnswerBegun || event.outcome == AttemptOutcome::Lost || event.outcome == AttemptOutcome::TimedOut;
     if (!open.attempts.empty()) {
-        return; // another attempt is on its way
+        return; // another attempt is in progress
     }
     const bool hasRoute = refreshRoute(open);
     if (hasRoute && mayRetry(open, event.outcome)) {
--- a/lib/Balance/Impl.h
+++ b/lib/Balance/Impl.h
@@ -12,7 +12,7 @@
 namespace pepperlug::fleet
 {
 
-/// Whether what came of an attempt means that its target has not run the request.
+/// Returns true if the outcome means that the target has not run the request.
 bool isCertainlyNotRun(AttemptOutcome outcome);
 
 class Balancer::Impl
@@ -39,51 +39,51 @@
         std::string address;
         TimePoint startedAt{};
         double utilization = 0;
-        double expectedBytes = 0; ///< counted for its answer
-        bool usesLimitShare = false; ///< taken from this host's part of the target's limit
+        double expectedBytes = 0; ///< taken from the link's budget for the answer
+        bool usesLimitShare = false; ///< taken from this host's share of the target's rate limit
     };
 
     struct OpenRequest {
         CallerRequest request;
-        Route route; ///< with the tenant's priority, and the homes of both
-        std::string tenant; ///< in whose name it is made; empty: nobody's
+        Route route; ///< with the tenant's priority, and the home regions of both
+        std::string tenant; ///< that the request is counted for; empty: none
         TenantLimit limit;
-        bool isCountedInQuota = false; ///< counted towards the limit
-        bool hasNoRegion = false; ///< no region may serve its route and its tenant
+        bool isCountedInQuota = false;
+        bool hasNoRegion = false; ///< no region may serve both the route and the tenant
         std::uint64_t tableVersion = 0; ///< of the table that the route is from
         std::string service;
         std::uint64_t affinity = 0;
         TimePoint arrivedAt{};
         TimePoint deadline{};
-        unsigned attemptsStarted = 0; ///< attempts so far
-        std::map<unsigned, Attempt> attempts; ///< those on their way
+        unsigned attemptsStarted = 0;
+        std::map<unsigned, Attempt> attempts; ///< in progress, by number
         std::set<std::string> triedTargets;
         std::string lastTarget;
         bool mayHaveRun = false;
-        bool isCallerRetry = false; ///< its caller was refused before, and waited
-        bool hasAnswerBegun = false; ///< a part of an answer was passed on
-        bool awaitsProbe = false; ///< nothing was sent, and the control hosts are asked whether it may be
-        bool isProbe = false; ///< may be sent once although it is shut out
+        bool isCallerRetry = false; ///< the caller was refused before, and waited
+        bool hasAnswerBegun = false; ///< a part of an answer was sent to the caller
+        bool awaitsProbe = false; ///< not sent; the control hosts decide whether it may be, as a probe
+        bool isProbe = false; ///< quarantined, but may be sent once
     };
 
-    /// Who makes a request, by the table in force.
+    /// Tenant of a request by the current table.
     struct CallerIdentity {
         const Tenant *tenant = nullptr;
         bool isAllowed = true;
-        /// Of the tenant; empty: nobody's.
+        /// Name of the tenant; empty: none.
         std::string name() const
         {
             return tenant != nullptr ? tenant->name : std::string();
         }
     };
 
-    /// A target that a request may go to, or why there is none.
+    /// Target that a request may be sent to, or the reason why there is none.
     struct Placement {
         TargetState *target = nullptr;
         double utilization = 0;
         Refusal refusal{};
         double admissibleUtilization = 1;
-        Duration untilCapacity{}; ///< Refusal::Backpressure: until a target takes one more
+        Duration untilCapacity{}; ///< Refusal::Backpressure: until a target accepts one more request
     };
 
     // Balancer.cpp
@@ -159,7 +159,7 @@
     std::mt19937_64 m_random;
     TargetSet m_targets;
     std::shared_ptr<const RouteTable> m_table;
-    std::optional<RouteIndex> m_routeIndex; ///< of the table
+    std::optional<RouteIndex> m_routeIndex; ///< of m_table
     std::optional<UpdateReceived> m_lastUpdate;
     bool m_isSuspended = false;
     std::map<std::string, unsigned> m_urgentPriority; ///< by service: the most urgent one among its routes
@@ -170,14 +170,14 @@
     Quarantine m_quarantine;
     QuotaShares m_quotas;
     BackpressureTable m_backpressure;
-    /// Requests whose connection ended at a target of which it is not known yet whether it has ended: their digests.
+    /// Targets that may have crashed and are being checked, with the digests of the requests whose connections ended.
     std::map<Incarnation, std::set<std::string>> m_pendingChecks;
     LinkBudget m_link;
-    std::map<std::string, ArrivalRate> m_arrivals; ///< by service: slots that requests keep busy
+    std::map<std::string, ArrivalRate> m_arrivals; ///< by service: slots that the requests occupy
     ArrivalRate m_requestedBytes;
     std::map<std::string, ShiftAllowance> m_shiftAllowances; ///< by service
-    std::map<std::string, double> m_meanServiceTime; ///< by service: s, of the answers lately
-    std::map<std::string, std::vector<double>> m_serviceCredits; ///< by route: what each part of a split is owed
+    std::map<std::string, double> m_meanServiceTime; ///< by service: seconds, over recent answers
+    std::map<std::string, std::vector<double>> m_serviceCredits; ///< by route: credit of each of its services
     TimePoint m_now{};
     TimePoint m_plansDueAt{};
     BalanceEffects *m_out = nullptr;
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -1,7 +1,7 @@
 //===- Placement.cpp - Service, region and target of a request ------------===//
 //
-// A request is admitted where it can still be answered within its objective, or where a slot is free. Everything else
-// is refused at once: the caller may come back, and a queue of requests that will be late serves nobody.
+// A request is admitted if it can still be answered within its objective, or if a slot is free. Everything else is
+// refused at once: the caller may retry, and a queue of requests that will be late serves nobody.
 //
 //===----------------------------------------------------------------------===//
 #include "Admission.h"
@@ -14,11 +14,11 @@
 namespace
 {
 
-/// Time to a target of another region and back, where nothing better is known.
+/// Assumed round trip to a target in another region.
 constexpr Milliseconds OtherRegionLatency{60};
-/// Part of the shift bound that requests may use besides the plan.
+/// Share of maxShift for requests that leave their region outside the plan.
 constexpr double UnplannedShiftShare = 0.2;
-/// Silence of a target, in work times, after which it is doubted.
+/// Service times without an answer after which a target counts as unresponsive.
 constexpr int ResponseTimeoutFactor = 3;
 constexpr Milliseconds MinResponseTimeout{600};
 constexpr Milliseconds PlanInterval{200};
@@ -31,17 +31,18 @@
     if (route.services.size() == 1) {
         return route.services.front().service;
     }
-    // Each part is owed its weight with every request; the one that is owed most gets it.
-    std::vector<double> &owed = m_serviceCredits[route.name];
-    owed.resize(route.services.size());
+    // Smooth weighted round-robin: each request adds the weights to the credits, and the service with the highest
+    // credit serves it and pays the sum of the weights.
+    std::vector<double> &credits = m_serviceCredits[route.name];
+    credits.resize(route.services.size());
     double sum = 0;
     std::size_t best = 0;
     for (std::size_t n = 0; n < route.services.size(); ++n) {
-        owed[n] += route.services[n].weight;
+        credits[n] += route.services[n].weight;
         sum += route.services[n].weight;
-        best = owed[n] > owed[best] ? n : best;
+        best = credits[n] > credits[best] ? n : best;
     }
-    owed[best] -= sum;
+    credits[best] -= sum;
     return route.services[best].service;
 }
 
@@ -51,7 +52,7 @@
     if (!open.route.homeRegions.empty() || plan == m_plans.end()) {
         return m_region;
     }
-    // All requests of a key go to one region, so that no target of another has to learn it.
+    // All requests of a key go to one region, so that no target in another region has to cache its data.
     const std::uint64_t key = open.affinity != 0 ? open.affinity : m_random();
     const RegionPlan &shares = plan->second;
     const std::string region =
@@ -85,7 +86,8 @@
     return placement;
 }
 
-// Asked with every request, and a table may have hundreds of routes. A tenant's priority goes before that of a route.
+// Computed in advance, since every request needs it and a table may have hundreds of routes. A tenant's priority
+// overrides that of a route.
 void Balancer::Impl::updateUrgentPriorities()
 {
     m_urgentPriority.clear();
@@ -127,18 +129,18 @@
     return pepperlug::fleet::admissibleUtilization(query);
 }
 
-// A caller that was refused has less time left than those that come for the first time. One that did not wait as it
-// was told gets no precedence.
+// A caller that was refused before has less time left than at its first try. One that did not wait as advised
+// gets no precedence.
 bool Balancer::Impl::isCallerRetry(const OpenRequest &open)
 {
     if (m_settings.policy.lateDeadlineShare <= 0 || !open.request.deadline) {
         return false;
     }
-    const std::optional<Duration> whole = m_stats[open.route.name].firstTryDeadline();
-    return whole && *whole - *open.request.deadline >= minRetryAfterFor(open.route);
+    const std::optional<Duration> usual = m_stats[open.route.name].firstTryDeadline();
+    return usual && *usual - *open.request.deadline >= minRetryAfterFor(open.route);
 }
 
-// Small answers are never held back: they are what the bound on large ones leaves room for.
+// Small answers are never held back: the bound on large answers leaves capacity for them.
 bool Balancer::Impl::fitsLink(const OpenRequest &open)
 {
     const auto stats = m_stats.find(open.route.name);
@@ -167,7 +169,7 @@
     if (hasTarget && open.affinity != 0 && !open.isCallerRetry) {
         return rejected;
     }
-    // A returning caller is served by whoever has room, at the price of a target that has to learn its key.
+    // A returning caller may use any target with free capacity, although that target has to load the key's data.
     Placement other = placeInRegion(open, {}, !hasTarget);
     if (other.target == nullptr) {
         return regionHasNoTarget ? other : rejected;
@@ -188,7 +190,7 @@
         return;
     }
     m_plansDueAt = m_now + PlanInterval;
-    // Two windows lie between the states that are compared, and chance moves some requests too.
+    // Half of the bound: the states that it compares lie two windows apart, and random choices move some requests too.
     const double window = std::chrono::duration<double>(m_settings.shiftWindow).count();
     const double step = m_settings.maxShift / window / 2;
     for (const ServiceTraits &service : m_table->services) {
@@ -202,7 +204,7 @@
             sum += slots;
         }
         if (sum < 1) {
-            // Nothing is known of the demand yet: regions are taken to be alike.
+            // No demand is known yet: all regions are assumed to have the same.
             double total = 0;
             for (const auto &[region, slots] : capacity) {
                 total += slots;
--- a/lib/Balance/Quotas.cpp
+++ b/lib/Balance/Quotas.cpp
@@ -1,7 +1,7 @@
-//===- Quotas.cpp - Limits of tenants, at an entry host -------------------===//
+//===- Quotas.cpp - Rate limits of tenants at an entry host ---------------===//
 //
-// A request counts once, when it is about to be sent for the first time: what is refused for another reason uses up
-// nothing, and a second attempt or one beside the first is the same request.
+// A request counts towards its tenant's limit once, before its first attempt. Requests that are refused for another
+// reason do not count, and neither do retries and hedged attempts.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
