--- a/lib/Balance/RoutesInForce.cpp
+++ b/lib/Balance/RoutesInForce.cpp
@@ -1,7 +1,8 @@
-//===- RoutesInForce.cpp - By which routes an entry host decides ----------===//
+//===- RoutesInForce.cpp - Routing that an entry host applies -------------===//
 //
-// What an entry host has confirmed must hold for all that it sends from then on. A request is open for up to many
-// seconds, so its route is asked for again at each send; and a host that gets newer routing late stops deciding.
+// A routing version that an entry host has confirmed must apply to everything that the host sends from then on. A
+// request may be open for many seconds, so its route is looked up again for each send; and a host that receives newer
+// routing late suspends its decisions.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -14,7 +15,7 @@
 namespace
 {
 
-/// Time that an answer needs back to its caller.
+/// Time reserved for sending the answer to the caller.
 constexpr Milliseconds ReturnLatency{20};
 
 } // namespace
@@ -26,14 +27,15 @@
     updateSuspension();
 }
 
-// Whoever acknowledges a change waits for this host to act by it. A slow link must hold up neither the operator nor the
-// promise, so after a while this host says that it decides nothing by what it has, and refuses what comes as not run:
-// callers find another host. Measured by AcknowledgedTest, a change of 4,000 routes over a link of 20 KB a second: the
-// whole case takes 3.4 s with it, 6.1 s without. Where the newer routing can't be read here it would never end, so this
-// host goes on, and the change is not acknowledged.
+// A change is acknowledged only when this host applies it. A slow link must delay neither the operator nor the
+// acknowledgement, so after updateLease this host suspends: it reports that it makes no decisions by its old routing,
+// and refuses new requests as not run, so that callers use another host. With a change of 4,000 routes over a link of
+// 20 KB/s, a test of acknowledgements takes 3.4 s with the suspension and 6.1 s without. If this host can't read the
+// newer routing, the suspension would never end; so the host continues with the old one, and the change is not
+// acknowledged.
 //
-// Once it has said so it stays so until it has all that it was told of: others rely on it for each of these changes,
-// and the next one may arrive while a later one is missing.
+// A suspended host stays suspended until it has every version that it was informed of: other hosts rely on the
+// suspension for each of these changes, and one of them may arrive while a later one is missing.
 void Balancer::Impl::updateSuspension()
 {
     if (!m_lastUpdate || !m_lastUpdate->behindSince) {
@@ -41,7 +43,7 @@
         return;
     }
     const bool isLate = m_lastUpdate->isArriving && m_now - *m_lastUpdate->behindSince > m_settings.updateLease;
-    // Nobody waits for a host that is cut off, so it serves on.
+    // No acknowledgement waits for a host that is cut off, so it continues to serve.
     const bool isCutOff = m_now - m_lastUpdate->requestedAt > CutOffLeases * m_settings.updateLease;
     m_isSuspended = !isCutOff && (isLate || m_isSuspended);
 }
@@ -51,8 +53,8 @@
     return m_isSuspended;
 }
 
-// A caller that is told "no such route" does not ask again, so only a host may say it that would know of the route.
-// Routes that are known are served whatever the age of the view: a zone that is cut off serves on.
+// A caller that receives "no such route" does not retry, so only a host that would know of the route may answer that.
+// Known routes are served whatever the age of the routing, so that a zone that is cut off continues to serve.
 bool Balancer::Impl::mayHaveMissedRoutes() const
 {
     return !m_lastUpdate || m_lastUpdate->behindSince || m_now - m_lastUpdate->requestedAt > m_settings.updateLease;
@@ -63,7 +65,7 @@
     return m_routeIndex->match(open.request.host, open.request.path);
 }
 
-// A key is asked for at each send like a route: it may have been taken away or given to another tenant meanwhile.
+// A key is looked up for each send, as the route is: it may have been removed or given to another tenant meanwhile.
 Balancer::Impl::CallerIdentity Balancer::Impl::identifyCaller(const CallerRequest &request, const Route *route) const
 {
     if (route == nullptr || m_table->tenants.empty()) {
@@ -73,7 +75,7 @@
     return {tenant, tenant != nullptr || route->isPublic};
 }
 
-// Where route and tenant both name homes, both bind.
+// If both the route and the tenant name home regions, the request may only go to regions that both name.
 void Balancer::Impl::assignTenant(OpenRequest &open, const CallerIdentity &caller)
 {
     const Tenant *tenant = caller.tenant;
@@ -94,7 +96,7 @@
     open.hasNoRegion = homes.empty();
 }
 
-// A service that the route leads to by its new table as well is kept, so that parts of a split keep their weights.
+// Keeps the service if the route still leads to it by the new table, so that the weights of a split hold.
 void Balancer::Impl::assignRoute(OpenRequest &open, const Route &route, const CallerIdentity &caller)
 {
     open.route = route;
@@ -114,10 +116,9 @@
         open.arrivedAt + std::min<Duration>(route.timeout, deadline ? *deadline - ReturnLatency : route.timeout);
 }
 
-// A request may be open for many seconds, and this host has long told others that it acts by the newest table. So each
-// send goes by the route that is in force then, not by the one of the arrival: none by a replaced route, where each
-// request that was sent again after a change went by one (RoutesChangeTest). False: there is no such route any more, or
-// it is not known.
+// A request may be open for many seconds, and this host may have confirmed the newest table meanwhile. So each send
+// uses the current route, not the one of the arrival; otherwise every request that is retried after a change would use
+// a replaced route. Returns false if the route does not exist any more, or if the host is suspended.
 bool Balancer::Impl::refreshRoute(OpenRequest &open)
 {
     if (m_isSuspended) {
@@ -145,7 +146,7 @@
         && std::any_of(route.services.begin(), route.services.end(), isItsService);
 }
 
-// Asked when a connection is there, up to some hundred milliseconds after the target was chosen.
+// Called when a connection is ready, up to several hundred milliseconds after the target was chosen.
 bool Balancer::Impl::maySend(RequestId id, unsigned attempt) const
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(id));
@@ -160,11 +161,11 @@
     }
     const bool isBeyondLimit = target->limit && !started->second.usesLimitShare;
     if (isBeyondLimit) {
-        return false; // the limit was heard after the target was chosen
+        return false; // the limit was received after the target was chosen
     }
     const Route *route = currentRoute(open);
     const CallerIdentity caller = identifyCaller(open.request, route);
-    // What is about to leave names the tenant that held the key when the target was chosen.
+    // The attempt carries the tenant that held the key when the target was chosen.
     return caller.isAllowed && open.tenant == caller.name() && leadsTo(*route, caller.tenant, *target);
 }
 
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -1,9 +1,9 @@
-//===- Suspicion.cpp - Requests that end the targets which run them -------===//
+//===- Suspicion.cpp - Requests that crash their targets ------------------===//
 //
-// A connection that ends under a request may have ended for many reasons: an answer that was lost, a reset, a kept
-// connection that was closed just then. Only where nothing listens at the target's address right afterwards has the
-// target itself ended, and every request that this host had there is noted. What follows from that is the same at all
-// hosts, which are told at once.
+// A connection can end during a request for many reasons: the answer was lost, the connection was reset, or a
+// keep-alive connection was closed at that moment. The target counts as crashed only if nothing listens at its address
+// right afterwards; then every request whose connection ended there is recorded. The consequences are the same at all
+// hosts, which receive the record at once.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -16,8 +16,8 @@
 namespace
 {
 
-/// Bounds of what a caller is told to wait whose request is shut out. Sooner nothing can have changed; later than the
-/// first trial nobody knows.
+/// Bounds of the time that the caller of a quarantined request is told to wait. Nothing can have changed sooner, and
+/// what happens after the first probe is not known.
 constexpr Milliseconds MinQuarantineRetryAfter{1000};
 constexpr Milliseconds MaxQuarantineRetryAfter = FirstTrialPause;
 
@@ -58,7 +58,8 @@
     }
 }
 
-// A target may answer a failure of its own to what it has not run to its end.
+// Called for answers that do not report a failure of the target itself: such a failure may be sent for a request that
+// did not run to its end.
 void Balancer::Impl::clearSuspicion(const OpenRequest &open)
 {
     if (m_quarantine.noteAnswer(open.request.digest)) {
@@ -78,8 +79,8 @@
     return !open.isProbe && (standing == Standing::ShutOut || standing == Standing::TrialDue);
 }
 
-// Whether a request that was sent may also go to another target. A suspected one that may have run at the first is left
-// at that: an innocent caller tries again, and the guilty one would end a target more.
+// Returns true if a request that was sent may also go to another target. A suspected request that may have run at the
+// first is not sent again: a caller whose request is harmless retries, while a harmful one would crash another target.
 bool Balancer::Impl::mayUseAnotherTarget(const OpenRequest &open, AttemptOutcome outcome) const
 {
     if (open.isProbe) {
@@ -89,8 +90,8 @@
     return standing == Standing::Free || (standing == Standing::Suspected && isCertainlyNotRun(outcome));
 }
 
-// What was sent before goes on: if a target answers, the request is free again. Cancelled, one that many callers make
-// would stay shut out after the loss of a rack at which it ran.
+// Attempts that were sent before the quarantine continue: if a target answers, the request is free again. If they were
+// cancelled, a request that many callers send would stay quarantined after the loss of a rack that ran it.
 bool Balancer::Impl::refuseOrProbe(OpenRequest &open)
 {
     const std::string &digest = open.request.digest;
@@ -123,7 +124,7 @@
     if (event.isGranted && refreshRoute(open)) {
         m_quarantine.grantTrial(open.request.digest, m_now);
         open.isProbe = true;
-        open.affinity = 0; // the emptiest target: if it ends, the fewest others are lost with it
+        open.affinity = 0; // use the least loaded target: if it crashes, the fewest other requests are lost
         placement = place(open);
     }
     if (placement.target != nullptr && !chargeQuota(open)) {
@@ -140,9 +141,9 @@
 Milliseconds Balancer::Impl::timeUntilProbe(const OpenRequest &open) const
 {
     const std::optional<Duration> left = m_quarantine.untilTrial(open.request.digest, m_now);
-    const Duration advised = left.value_or(MaxQuarantineRetryAfter);
+    const Duration wait = left.value_or(MaxQuarantineRetryAfter);
     return std::chrono::duration_cast<Milliseconds>(
-        std::clamp<Duration>(advised, MinQuarantineRetryAfter, MaxQuarantineRetryAfter));
+        std::clamp<Duration>(wait, MinQuarantineRetryAfter, MaxQuarantineRetryAfter));
 }
 
 } // namespace pepperlug::fleet
