--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -1,9 +1,10 @@
-//===- TargetSet.cpp - Beliefs about targets, and the choice among them ---===//
+//===- TargetSet.cpp - Known targets and the choice among them ------------===//
 //
-// With an affinity key the choice is the least filled of the few targets that rendezvous hashing ranks first for the
-// key: all entry hosts rank alike without talking, so a target sees the same keys again and stays warm for them. When
-// these are full no other is taken: a target remembers a limited number of keys, so a key that spills over makes
-// another target forget, all become slow, and more spills over. Measured: docs/MEASUREMENTS.md.
+// With an affinity key, the choice is the first of the few targets that rendezvous hashing ranks highest for the key
+// that would answer in time, or else the least loaded of them. All entry hosts compute the same ranking without
+// communication, so a target sees the same keys again and has their data cached. If these targets are full, no other
+// one is used: a target caches a limited number of keys, so a key that spills over evicts another one elsewhere, all
+// targets become slow, and more keys spill over.
 //
 //===----------------------------------------------------------------------===//
 #include "TargetSet.h"
@@ -17,21 +18,21 @@
 namespace
 {
 
-/// What a told load is worth halves in this time.
+/// Half-life of a reported load.
 constexpr std::chrono::duration<double> LoadHalfLife{0.6};
-/// Part of the bound on cold targets that is used, since membership may be believed differently for a moment.
+/// Share of the bound on cold targets that is used, since hosts may disagree on the membership for a moment.
 constexpr double ColdMargin = 0.8;
-/// A target reports itself several times within it.
+/// Unconfirmed targets are unusable after this time. A target reports several times within it.
 constexpr std::chrono::seconds ConfirmationTimeout{6};
 constexpr Milliseconds MinBlock{700};
 constexpr Milliseconds MaxBlock{4000};
 constexpr unsigned FailuresToBlock = 3;
-/// A longer rest counts as this one: a target must not be lost for good by one answer.
+/// Upper bound of a back-off: a target must not be lost for good by one answer.
 constexpr std::chrono::minutes MaxBackoff{5};
-/// Part of a rest over which hosts that were asked for it at the same moment come back, and the longest such time.
+/// Share of a back-off over which hosts that began it at the same moment spread their return, and its upper bound.
 constexpr double ReturnSpreadShare = 0.25;
 constexpr std::chrono::seconds MaxReturnSpread{1};
-/// A caller is told to come back after so long where a target that has rested runs its first request.
+/// Advised wait while a target runs its first request after a back-off.
 constexpr Milliseconds RecoveryRetryAfter{200};
 
 } // namespace
@@ -41,8 +42,8 @@
     return std::max(1U, load && load->slots > 0 ? load->slots : report.slots);
 }
 
-// The told load holds this host's own requests of then; the others are taken to fade towards nothing, so that a target
-// that was full is tried again soon.
+// The reported load includes the requests that this host had there at that time. The requests of other hosts are
+// assumed to decay towards zero, so that a target that was full is tried again soon.
 double TargetState::estimatedRequests(TimePoint now) const
 {
     if (!load) {
@@ -89,9 +90,9 @@
             continue;
         }
         if (it.report.startedAt > target.report.startedAt) {
-            target = {}; // neither requests, load, failures nor cold time of the life before are its own
+            target = {}; // requests, load, failures and cold time belong to the previous incarnation
         }
-        target.unconfirmedSince.reset(); // whoever tells of it knows it, even by an older report
+        target.unconfirmedSince.reset(); // the reporting host knows the target, even by an older report
         if (!isNew && it.report.sequence < target.report.sequence && it.report.presence != Presence::Gone) {
             continue;
         }
@@ -121,8 +122,8 @@
     }
 }
 
-// A control host that has just started knows nobody. Whoever lives reports to one soon; whoever ended while no control
-// host was there to notice it is never heard of again, so nobody would say that it is gone.
+// A control host that has just started knows no targets. Running targets report to one soon; no host would ever report
+// that a target is gone if it ended while no control host was running.
 void TargetSet::markOthersUnconfirmed(const RegistryChanges &known, TimePoint now)
 {
     std::unordered_map<std::string_view, Milliseconds> knownStartTimes;
@@ -143,7 +144,7 @@
     m_table = std::move(table);
 }
 
-// Targets of a zone that is taken back may have become cold without a report yet.
+// Targets of a zone whose evacuation has ended may have become cold without having reported it yet.
 void TargetSet::setEvacuatedZones(const std::set<std::string> &zones, TimePoint now)
 {
     for (auto &[id, target] : m_targets) {
@@ -214,11 +215,11 @@
     target.coldUntil = until;
 }
 
-// Only the entry hosts of a cold target's own zone send to it, each its part of what the target bears; so the sum over
-// all hosts stays bounded without a word between them. All of them hear of it at the same moment, so each begins at a
-// moment of its own within the interval, or they would all send at once; with many hosts that alone is more than it
-// bears. The moment is drawn when it is first asked for: a host that has just started hears of targets before it knows
-// the routing and the other hosts, upon which the interval depends.
+// Only the entry hosts of a cold target's own zone send to it, each at its share of the rate that the target can serve,
+// so the sum over all hosts is bounded without communication. All hosts receive the report at the same moment, so each
+// starts at a different phase of the interval; otherwise they would all send at once, which exceeds the target's
+// capacity if there are many hosts. The phase is computed at first use, because a host that has just started learns of
+// targets before the routing and the other hosts, which the interval depends on.
 bool TargetSet::mayReceiveWhileCold(TargetState &target, TimePoint now) const
 {
     if (!isWarmingHost(target)) {
@@ -237,11 +238,11 @@
     const auto utilization = [now](const TargetState *it) {
         return (it->estimatedRequests(now) + 1) / it->slots();
     };
-    const auto isEmptier = [&](const TargetState *lhs, const TargetState *rhs) {
+    const auto isLessLoaded = [&](const TargetState *lhs, const TargetState *rhs) {
         return utilization(lhs) < utilization(rhs);
     };
     if (query.affinity == 0) {
-        return *std::min_element(candidates.begin(), candidates.end(), isEmptier);
+        return *std::min_element(candidates.begin(), candidates.end(), isLessLoaded);
     }
     std::vector<std::pair<std::uint64_t, TargetState *>> ranked;
     ranked.reserve(candidates.size());
@@ -257,7 +258,7 @@
         }
         first.push_back(ranked[n].second);
     }
-    return *std::min_element(first.begin(), first.end(), isEmptier);
+    return *std::min_element(first.begin(), first.end(), isLessLoaded);
 }
 
 TargetChoice TargetSet::choose(const TargetQuery &query, TimePoint now)
@@ -282,7 +283,7 @@
     if (!available.empty()) {
         return {chooseAmong(available, query, now), std::nullopt};
     }
-    // All failed lately: the one whose turn to be tried again comes first.
+    // All candidates failed recently or are unresponsive: use the one whose block ends first.
     const auto it =
         std::min_element(blocked.begin(), blocked.end(), [](const TargetState *lhs, const TargetState *rhs) {
             return lhs->blockedUntil < rhs->blockedUntil;
@@ -290,7 +291,7 @@
     return it == blocked.end() ? TargetChoice{nullptr, soonest} : TargetChoice{*it, std::nullopt};
 }
 
-// Extends a rest that has begun, and never shortens it.
+// Extends a back-off in progress, and never shortens it.
 Duration TargetSet::startBackoff(const Incarnation &incarnation, std::chrono::duration<double> backoff, TimePoint now)
 {
     TargetState *target = find(incarnation);
@@ -307,8 +308,8 @@
     return target->backoffUntil - now;
 }
 
-// Nothing if the target asks for nothing that forbids a request now. After a rest it gets one at a time until it has
-// run one.
+// Returns nothing if the target's backpressure allows a request now. After a back-off a target gets one request at a
+// time until it has run one.
 std::optional<Duration> TargetSet::untilCapacity(TargetState &target, const TargetQuery &query, TimePoint now) const
 {
     if (target.isBackingOff(now)) {
@@ -348,7 +349,7 @@
     }
 }
 
-// How many live entry hosts come before this one by rendezvous hashing for the target.
+// Returns how many live entry hosts rendezvous hashing ranks before this one for the target.
 std::size_t TargetSet::limitRank(TargetState &target) const
 {
     if (target.rankedAt != m_entryHostsVersion) {
@@ -362,7 +363,7 @@
     return target.limitRank;
 }
 
-// Nothing if a request may go there now. Less urgent requests leave one that is saved up to urgent ones.
+// Returns nothing if a request may be sent now. Less urgent requests leave one saved request to urgent ones.
 std::optional<Duration> TargetSet::untilLimitAllows(TargetState &target, const TargetQuery &query, TimePoint now) const
 {
     if (!target.limit) {
@@ -371,11 +372,11 @@
     const std::size_t hosts = m_entryHosts.size() + (m_entryHosts.contains(m_settings.host) ? 0 : 1);
     const std::size_t owners = ownerCount(*target.limit, hosts);
     if (limitRank(target) >= owners) {
-        // An owner may have room; how soon is not known here.
+        // An owner may have capacity; this host can't know how soon.
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / *target.limit));
     }
     if (!target.bucket) {
-        // With a part of one request, so that owners that hear of a limit at once do not all send at once.
+        // Starts with a fraction of a request, so that owners that learn of a limit at once do not all send at once.
         target.bucket.emplace(unitInterval(hash64(target.report.id, m_settings.seed)));
     }
     const BucketConfig share = ownerShare(*target.limit, owners);
@@ -449,7 +450,7 @@
         target->isRetired = true;
         return;
     case AttemptOutcome::Withdrawn:
-        return; // the target had no part in it
+        return; // does not concern the target
     case AttemptOutcome::NotSent:
         markUnreachable(incarnation, now);
         return;
