--- a/unittests/Balance/AdmissionTest.cpp
+++ b/unittests/Balance/AdmissionTest.cpp
@@ -1,4 +1,4 @@
-//===- AdmissionTest.cpp - Which requests are let in ----------------------===//
+//===- AdmissionTest.cpp - Tests of admission control ---------------------===//
 #include "Balance/Admission.h"
 
 #include <catch2/catch.hpp>
@@ -23,20 +23,20 @@
 
 } // namespace
 
-TEST_CASE("a request is let in while its predicted answer is in time")
+TEST_CASE("a request is admitted if its answer is predicted to be in time")
 {
-    // 0.9 of 200 ms less 80 ms of work leave 100 ms to wait, in which one more filling of the slots is served.
+    // 0.9 of 200 ms less 80 ms of service time leave 100 ms of queueing, in which each slot serves one more request.
     CHECK(admissibleUtilization(urgentRequest()) == Approx(2.0));
 }
 
-TEST_CASE("a way to another region leaves less time to wait")
+TEST_CASE("the latency to another region leaves less time for queueing")
 {
     AdmissionQuery query = urgentRequest();
     query.extraLatency = 50ms;
     CHECK(admissibleUtilization(query) == Approx(1.5));
 }
 
-TEST_CASE("less urgent requests leave room for urgent ones")
+TEST_CASE("less urgent requests leave capacity for urgent ones")
 {
     AdmissionQuery query = urgentRequest();
     query.isUrgent = false;
@@ -45,7 +45,7 @@
     CHECK(admissibleUtilization(query) == Approx(0.9));
 }
 
-TEST_CASE("a free slot may be used whatever the prediction says")
+TEST_CASE("a free slot may be used whatever the prediction")
 {
     AdmissionQuery query = urgentRequest();
     query.objectiveLeft = -50ms;
@@ -55,7 +55,7 @@
     CHECK(admissibleUtilization(query) == Approx(1.0));
 }
 
-TEST_CASE("a returning caller is served late rather than never")
+TEST_CASE("a request of a returning caller is admitted even if its answer will be late")
 {
     AdmissionQuery query = urgentRequest();
     query.lateDeadlineShare = 0.35;
--- a/unittests/Balance/BackpressureTest.cpp
+++ b/unittests/Balance/BackpressureTest.cpp
@@ -1,4 +1,4 @@
-//===- BackpressureTest.cpp - One entry host, and targets that ask for less -------===//
+//===- BackpressureTest.cpp - Backpressure of targets at one entry host -----------===//
 #include "BalanceFixture.h"
 
 #include <catch2/catch.hpp>
@@ -26,15 +26,15 @@
         return it;
     }
 
-    void nameLimit(const std::string &target, double perSecond)
+    void advertiseLimit(const std::string &target, double perSecond)
     {
         TargetSignalled event{{target, 0ms}, {}, now};
         event.signal.perSecond = perSecond;
         reduce(event);
     }
 
-    /// A target turns a request away and asks for a rest.
-    void turnAway(RequestId id, const std::string &target, std::chrono::duration<double> rest)
+    /// A target sheds a request and asks for back-off.
+    void shedWithBackoff(RequestId id, const std::string &target, std::chrono::duration<double> rest)
     {
         TargetSignalled event{{target, 0ms}, {}, now};
         event.signal.rest = rest;
@@ -42,7 +42,7 @@
         end(id, 1, AttemptOutcome::Shed);
     }
 
-    /// Sends a request, and has it answered at once. Returns the target; empty if it was refused.
+    /// Sends a request that is answered at once. Returns the target; empty if the request was refused.
     std::string send(const std::string &path = "/once/", const std::string &key = {})
     {
         const RequestId id = request(path, key);
@@ -57,11 +57,11 @@
 
 } // namespace
 
-TEST_CASE("where all targets are limited a request beyond that is refused at once, with the time until there is room")
+TEST_CASE("a request beyond the limits of all targets is refused with the time until there is capacity")
 {
     BackpressureHost host;
     host.report(Host::targetOf("t1"));
-    host.nameLimit("t1", 0.5);
+    host.advertiseLimit("t1", 0.5);
     host.now += 10s;
     while (!host.send().empty()) { }
     const auto *refusal = host.find<RefuseRequest>();
@@ -74,13 +74,13 @@
     CHECK(host.send() == "t1");
 }
 
-TEST_CASE("a request that waits for a connection to a target that names a limit meanwhile goes elsewhere")
+TEST_CASE("an unsent request goes to another target if its target advertises a limit meanwhile")
 {
     BackpressureHost host;
     host.report(Host::targetOf("t1"));
     const RequestId id = host.request("/once/");
     CHECK(host.balancer.maySend(id, 1));
-    host.nameLimit("t1", 0.01);
+    host.advertiseLimit("t1", 0.01);
     CHECK_FALSE(host.balancer.maySend(id, 1));
     host.report(Host::targetOf("t2"));
     host.end(id, 1, AttemptOutcome::Withdrawn);
@@ -88,11 +88,11 @@
     CHECK(host.find<StartAttempt>()->target == "t2");
 }
 
-TEST_CASE("what was not sent uses up nothing of a limit")
+TEST_CASE("an attempt that was not sent does not count towards a limit")
 {
     BackpressureHost host;
     host.report(Host::targetOf("t1"));
-    host.nameLimit("t1", 0.05);
+    host.advertiseLimit("t1", 0.05);
     host.now += 1h;
     while (!host.send().empty()) { }
     host.now += 25s;
@@ -100,12 +100,12 @@
     REQUIRE(host.find<StartAttempt>() != nullptr);
     CHECK(host.balancer.maySend(id, 1));
     host.end(id, 1, AttemptOutcome::NotSent);
-    host.now += 1s; // past the block of a target that was not reached
+    host.now += 1s; // beyond the block of an unreachable target
     CHECK(host.send() == "t1");
     CHECK(host.send().empty());
 }
 
-TEST_CASE("a host that does not share a target's limit sends it nothing, and comes back when the limit is lifted")
+TEST_CASE("a host that owns no share of a target's limit sends it nothing until the limit is removed")
 {
     BackpressureHost host;
     for (int n = 0; n < 40; ++n) {
@@ -115,10 +115,10 @@
     for (unsigned n = 0; n < Targets; ++n) {
         const std::string id = "t" + std::to_string(n);
         host.report(Host::targetOf(id));
-        host.nameLimit(id, 1);
+        host.advertiseLimit(id, 1);
     }
     CHECK(host.send().empty());
-    host.now += 1h; // what this host may save up is there
+    host.now += 1h; // the buckets of this host are full
     std::set<std::string> used;
     for (unsigned n = 0; n < 10 * Targets; ++n) {
         const std::string target = host.send();
@@ -130,8 +130,8 @@
     CHECK(!used.empty());
     CHECK(used.size() <= Targets / 4);
     for (unsigned n = 0; n < Targets; ++n) {
-        BackpressureReport lifted{{"t" + std::to_string(n), 0ms}, false, 0, 0ms};
-        host.reduce(BackpressureReceived{{lifted}});
+        BackpressureReport removed{{"t" + std::to_string(n), 0ms}, false, 0, 0ms};
+        host.reduce(BackpressureReceived{{removed}});
     }
     std::set<std::string> after;
     for (unsigned n = 0; n < 10 * Targets; ++n) {
@@ -140,7 +140,7 @@
     CHECK(after.size() > Targets * 3 / 4);
 }
 
-TEST_CASE("a limit that is known before its target holds from its first report on")
+TEST_CASE("a limit that is known before its target applies from the target's first report on")
 {
     BackpressureHost host;
     host.reduce(BackpressureReceived{{{{"t1", 0ms}, true, 0.05, 0ms}}});
@@ -150,7 +150,7 @@
         sent += host.send().empty() ? 0 : 1;
     }
     CHECK(sent <= 1);
-    // Its next incarnation names none.
+    // The next incarnation advertises no limit.
     TargetReport next = Host::targetOf("t1");
     next.startedAt = 5000ms;
     host.report(next);
@@ -158,14 +158,14 @@
     CHECK(host.send() == "t1");
 }
 
-TEST_CASE("urgent requests get what is saved up of a limit, others leave one")
+TEST_CASE("less urgent requests leave one saved request of a limit to urgent ones")
 {
     BackpressureHost host;
     host.table.routes[0].priority = 1;
     host.table.routes[1].priority = 0;
     host.useTable();
     host.report(Host::targetOf("t1"));
-    host.nameLimit("t1", 1);
+    host.advertiseLimit("t1", 1);
     while (!host.send("/once/").empty()) { }
     host.now += 1h;
     while (!host.send("/read/").empty()) { }
@@ -173,7 +173,7 @@
     CHECK(host.send("/once/").empty());
 }
 
-TEST_CASE("a limited target counts for less in the plan of regions")
+TEST_CASE("a limited target has less capacity in the region plan")
 {
     BackpressureHost host;
     host.report(Host::entryOf("far", "z3"));
@@ -182,8 +182,8 @@
         host.report(Host::targetOf("near" + std::to_string(n), "z1", 4));
         host.report(Host::targetOf("far" + std::to_string(n), "z3", 4));
     }
-    const auto partAbroad = [&] {
-        unsigned abroad = 0;
+    const auto otherRegionShare = [&] {
+        unsigned otherRegion = 0;
         constexpr unsigned Requests = 400;
         for (unsigned n = 0; n < Requests; ++n) {
             host.now += 10ms;
@@ -192,15 +192,15 @@
             if (attempt == nullptr) {
                 continue;
             }
-            abroad += attempt->zone == "z3" ? 1 : 0;
+            otherRegion += attempt->zone == "z3" ? 1 : 0;
             host.now += 10ms;
             host.end(id, 1, AttemptOutcome::Answered);
         }
-        return static_cast<double>(abroad) / Requests;
+        return static_cast<double>(otherRegion) / Requests;
     };
     RegionDemand demand{"r1", "s", 30};
     host.reduce(ReportsChanged{{}, false, {demand, {"r2", "s", 1}}});
-    const double before = partAbroad();
+    const double before = otherRegionShare();
     for (unsigned n = 0; n < Targets; ++n) {
         host.reduce(BackpressureReceived{{{{"near" + std::to_string(n), 0ms}, true, 1, 0ms}}});
     }
@@ -208,14 +208,14 @@
         host.now += 200ms;
         host.reduce(BalanceTick{});
     }
-    CHECK(partAbroad() > before + 0.3);
+    CHECK(otherRegionShare() > before + 0.3);
 }
 
-TEST_CASE("a target that asked for a rest gets nothing meanwhile, then one request at a time until it has run one")
+TEST_CASE("a target gets nothing during a back-off, then one request at a time until it has run one")
 {
     BackpressureHost host;
     host.report(Host::targetOf("t1"));
-    host.turnAway(host.request("/once/"), "t1", 3s);
+    host.shedWithBackoff(host.request("/once/"), "t1", 3s);
     host.now += 2900ms;
     CHECK(host.send().empty());
     REQUIRE(host.find<RefuseRequest>() != nullptr);
@@ -233,9 +233,9 @@
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("hosts that were asked for a rest at the same moment come back one after the other")
+TEST_CASE("hosts that start a back-off at the same moment end it at different times")
 {
-    std::set<TimePoint> returns;
+    std::set<TimePoint> resumeTimes;
     constexpr unsigned Hosts = 20;
     for (unsigned n = 0; n < Hosts; ++n) {
         BalanceSettings settings = BackpressureHost::settings();
@@ -248,37 +248,37 @@
         event.signal.rest = 3s;
         host.reduce(event);
         host.end(id, 1, AttemptOutcome::Shed);
-        const TimePoint told = host.now;
+        const TimePoint startedAt = host.now;
         do {
             host.now += 10ms;
             host.request("/once/");
         } while (host.find<StartAttempt>() == nullptr);
-        CHECK(host.now - told >= 3s);
-        CHECK(host.now - told <= 4s);
-        returns.insert(host.now);
+        CHECK(host.now - startedAt >= 3s);
+        CHECK(host.now - startedAt <= 4s);
+        resumeTimes.insert(host.now);
     }
-    CHECK(returns.size() > Hosts / 2);
+    CHECK(resumeTimes.size() > Hosts / 2);
 }
 
-TEST_CASE("a request that waits for a connection to a target that asks for a rest meanwhile is not sent")
+TEST_CASE("an unsent request is withdrawn if its target asks for back-off meanwhile")
 {
     BackpressureHost host;
     host.report(Host::targetOf("t1"));
     const RequestId waiting = host.request("/once/");
     const RequestId other = host.request("/once/");
-    host.turnAway(other, "t1", 3s);
+    host.shedWithBackoff(other, "t1", 3s);
     CHECK_FALSE(host.balancer.maySend(waiting, 1));
 }
 
-TEST_CASE("a rest of a year does not lose a target for good, and a shorter one does not end a longer one")
+TEST_CASE("a back-off is bounded, and a shorter one does not end a longer one")
 {
     BackpressureHost host;
     host.report(Host::targetOf("t1"));
-    host.turnAway(host.request("/once/"), "t1", 365 * 24h);
+    host.shedWithBackoff(host.request("/once/"), "t1", 365 * 24h);
     host.now += 6min;
     const RequestId second = host.request("/once/");
     REQUIRE(host.find<StartAttempt>() != nullptr);
-    host.turnAway(second, "t1", 10s);
+    host.shedWithBackoff(second, "t1", 10s);
     TargetSignalled shorter{{"t1", 0ms}, {}, host.now};
     shorter.signal.rest = 1s;
     host.reduce(shorter);
@@ -288,23 +288,23 @@
     CHECK(host.send() == "t1");
 }
 
-TEST_CASE("a rest ends with the incarnation that asked for it")
+TEST_CASE("a back-off ends with the incarnation that asked for it")
 {
     BackpressureHost host;
     host.report(Host::targetOf("t1"));
-    host.turnAway(host.request("/once/"), "t1", 1min);
+    host.shedWithBackoff(host.request("/once/"), "t1", 1min);
     TargetReport next = Host::targetOf("t1");
     next.startedAt = 5000ms;
     host.report(next);
     CHECK(host.send() == "t1");
-    // What the earlier one said late is not the next one's.
+    // A late answer of the previous incarnation does not affect the next one.
     TargetSignalled late{{"t1", 0ms}, {}, host.now};
     late.signal.rest = 1min;
     host.reduce(late);
     CHECK(host.send() == "t1");
 }
 
-TEST_CASE("a target that leaves by its own word gets nothing new, also by a report that says ready")
+TEST_CASE("a target that signals that it is leaving gets no new requests, even if it reports that it is ready")
 {
     BackpressureHost host;
     host.report(Host::targetOf("t1"));
@@ -320,7 +320,7 @@
     report.sequence = 9;
     host.report(report);
     CHECK(host.send().empty());
-    // An answer that was made before and comes late takes nothing back.
+    // A late answer from before does not revoke it.
     host.reduce(TargetSignalled{{"t1", 0ms}, {}, host.now});
     CHECK(host.send().empty());
     report.startedAt = 5000ms;
@@ -328,7 +328,7 @@
     CHECK(host.send() == "t1");
 }
 
-TEST_CASE("a host that is told that a target leaves sends it nothing, also where it hears of the target later")
+TEST_CASE("a host that receives that a target is leaving sends it nothing, also if the target's report arrives later")
 {
     BackpressureHost host;
     const BackpressureReport leaving{{"t1", 0ms}, false, 0, 0ms, true};
--- a/unittests/Balance/BalanceFixture.h
+++ b/unittests/Balance/BalanceFixture.h
@@ -1,4 +1,4 @@
-//===- BalanceFixture.h - A balancer, its events and its effects -*- C++ -*-===//
+//===- BalanceFixture.h - Fixture for tests of the balancer -----*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Balance.h"
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/// One entry host with targets, driven by hand.
+/// One entry host, whose events and time the test supplies.
 class Host
 {
 public:
@@ -92,7 +92,7 @@
         reduce(ReportsChanged{changes});
     }
 
-    /// Sends a request; its id is the count of requests so far.
+    /// Sends a request. Its id is the number of requests so far.
     RequestId request(const std::string &path, const std::string &key = {}, std::optional<Duration> deadline = {})
     {
         const auto id = static_cast<RequestId>(++lastRequest);
--- a/unittests/Balance/BalancerTest.cpp
+++ b/unittests/Balance/BalancerTest.cpp
@@ -1,4 +1,4 @@
-//===- BalancerTest.cpp - Requests at an entry host -----------------------===//
+//===- BalancerTest.cpp - Tests of requests at an entry host --------------===//
 #include "BalanceFixture.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 using namespace pepperlug;
 using namespace pepperlug::fleet;
 
-TEST_CASE("without a configuration a request is refused as not run, with a time to come back")
+TEST_CASE("without a configuration a request is refused as not run, with a retry time")
 {
     Host host;
     host.request("/read/x");
@@ -16,7 +16,7 @@
     CHECK(host.find<RefuseRequest>()->retryAfter > 0ms);
 }
 
-TEST_CASE("a request that may run only once is not sent again once it may have run")
+TEST_CASE("a once-only request is not retried once it may have run")
 {
     for (const AttemptOutcome outcome : {AttemptOutcome::Lost, AttemptOutcome::TimedOut}) {
         auto host = std::make_unique<Host>();
@@ -32,7 +32,7 @@
     }
 }
 
-TEST_CASE("a request that was certainly not run goes to another target")
+TEST_CASE("a request that was certainly not run is retried at another target")
 {
     for (const AttemptOutcome outcome : {AttemptOutcome::NotSent, AttemptOutcome::Shed, AttemptOutcome::WrongTarget}) {
         Host host;
@@ -50,7 +50,7 @@
     }
 }
 
-TEST_CASE("a target whose address answers for another is not used until it reports again under a new id")
+TEST_CASE("a target whose address belongs to another incarnation is not used until it reports under a new id")
 {
     Host host;
     host.useTable();
@@ -65,7 +65,7 @@
     CHECK(host.find<StartAttempt>()->target == "t2");
 }
 
-TEST_CASE("a draining target and an evacuated zone get nothing new")
+TEST_CASE("draining targets and evacuated zones get no new requests")
 {
     Host host;
     host.useTable();
@@ -84,8 +84,7 @@
     CHECK(host.find<RefuseRequest>()->reason == Refusal::NoTarget);
 }
 
-TEST_CASE(
-    "a route is denied only by a host that would know of it; what is known is served whatever the age of the news")
+TEST_CASE("only a host with current routing denies a route; known routes are served whatever the age of the routing")
 {
     Host host;
     host.useTable();
@@ -96,7 +95,7 @@
         REQUIRE(refusal != nullptr);
         return refusal->reason;
     };
-    CHECK(refusalOf("/new/x") == Refusal::RoutingLate); // nobody in touch has told it anything
+    CHECK(refusalOf("/new/x") == Refusal::RoutingLate); // no update was received from a control host
     host.reduce(UpdateReceived{host.now});
     CHECK(refusalOf("/new/x") == Refusal::NoRoute);
     host.reduce(UpdateReceived{host.now, host.now});
@@ -109,7 +108,7 @@
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("a request that waits to be sent is withdrawn once its target leaves or its zone is evacuated")
+TEST_CASE("an unsent request is withdrawn once its target drains or its zone is evacuated")
 {
     Host host;
     host.useTable();
@@ -129,17 +128,17 @@
     CHECK_FALSE(host.balancer.maySend(static_cast<RequestId>(99), 1));
 }
 
-TEST_CASE("a target that ended while no control host was there to notice is left out after a while")
+TEST_CASE("a target that ended while no control host was running becomes unusable after a while")
 {
     Host host;
     host.useTable();
     host.report(Host::targetOf("t1"));
     host.report(Host::targetOf("t2", "z2"));
-    // All control hosts were restarted; only one of the two targets reports itself again.
+    // All control hosts restarted, and only one of the two targets reports again.
     host.reduce(ReportsChanged{{}, true});
-    TargetReport living = Host::targetOf("t2", "z2");
-    living.sequence = 2;
-    host.report(living);
+    TargetReport running = Host::targetOf("t2", "z2");
+    running.sequence = 2;
+    host.report(running);
     const auto used = [&] {
         std::set<std::string> targets;
         for (int n = 0; n < 16; ++n) {
@@ -160,13 +159,13 @@
     CHECK(used() == std::set<std::string>{"t1", "t2"});
 }
 
-TEST_CASE("a target known from before a restart only is used for a while, and on once it reports itself")
+TEST_CASE("a restored target is used for a while, and longer only if it reports")
 {
     Host host;
     host.useTable();
-    ReportsChanged news;
-    news.restored = {Host::targetOf("t1"), Host::targetOf("t2")};
-    host.reduce(news);
+    ReportsChanged update;
+    update.restored = {Host::targetOf("t1"), Host::targetOf("t2")};
+    host.reduce(update);
     host.request("/read/x");
     CHECK(host.find<StartAttempt>() != nullptr);
     host.now += 1s;
@@ -180,28 +179,28 @@
     }
 }
 
-TEST_CASE("what is remembered never goes before what was reported")
+TEST_CASE("restored targets do not override reported ones")
 {
     Host host;
     host.useTable();
     TargetReport draining = Host::targetOf("t1");
     draining.presence = Presence::Draining;
     host.report(draining);
-    ReportsChanged news;
-    news.restored = {Host::targetOf("t1")};
-    host.reduce(news);
+    ReportsChanged update;
+    update.restored = {Host::targetOf("t1")};
+    host.reduce(update);
     host.request("/read/x");
     CHECK(host.find<StartAttempt>() == nullptr);
 }
 
-TEST_CASE("a target that another control host knows by an older report is not doubted any more")
+TEST_CASE("a target that another control host knows by an older report is confirmed")
 {
     Host host;
     host.useTable();
     TargetReport newest = Host::targetOf("t1");
     newest.sequence = 5;
     host.report(newest);
-    // The next control host learns of the target late, and its reports do not change from then on.
+    // The next control host receives the target late, and the report does not change from then on.
     host.reduce(ReportsChanged{{}, true});
     TargetReport older = newest;
     older.sequence = 4;
@@ -211,7 +210,7 @@
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("the time left is passed on, and a request past it ends as maybe run")
+TEST_CASE("the remaining time is passed to the attempt, and a request ends after it as possibly run")
 {
     Host host;
     host.useTable();
@@ -227,7 +226,7 @@
     CHECK(host.balancer.openRequests() == 0);
 }
 
-TEST_CASE("the work of a caller who left is cancelled")
+TEST_CASE("the attempts of a caller that disconnected are cancelled")
 {
     Host host;
     host.useTable();
@@ -238,7 +237,7 @@
     CHECK(host.balancer.openRequests() == 0);
 }
 
-TEST_CASE("a key stays with few targets, also when they are full")
+TEST_CASE("a key uses few targets, also when they are full")
 {
     Host host;
     host.useTable();
@@ -256,7 +255,7 @@
     CHECK(host.find<RefuseRequest>() != nullptr);
 }
 
-TEST_CASE("a key has one target, and a second one only where the first would be late")
+TEST_CASE("a key uses as many targets as configured, and a second one only if the first would be late")
 {
     for (const unsigned targets : {1U, 2U}) {
         BalanceSettings settings = Host::settingsOf("z1", 1);
@@ -275,12 +274,12 @@
         }
         CHECK(used.size() == targets);
         for (const auto &[target, count] : used) {
-            CHECK(count == 4); // its slots: no time of an answer is known yet
+            CHECK(count == 4); // one for each slot: no service time is known yet
         }
     }
 }
 
-TEST_CASE("a caller that was refused and waited is served late, one that did not wait is not")
+TEST_CASE("a caller that was refused and waited is served late, one that did not wait is refused")
 {
     constexpr Milliseconds Deadline{2000};
     const auto isServed = [&](Milliseconds left) {
@@ -293,7 +292,7 @@
             host.now += 100ms;
             host.end(id, 1, AttemptOutcome::Answered);
         }
-        for (int n = 0; n < 40; ++n) { // until no more are let in
+        for (int n = 0; n < 40; ++n) { // until no more are admitted
             host.request("/read/x", "key", Deadline);
         }
         REQUIRE(host.find<RefuseRequest>() != nullptr);
@@ -305,7 +304,7 @@
     CHECK(isServed(Deadline - 200ms));
 }
 
-TEST_CASE("entry hosts send a key to the same target without talking")
+TEST_CASE("entry hosts send a key to the same target without communication")
 {
     std::set<std::string> used;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -320,7 +319,7 @@
     CHECK(used.size() == 1);
 }
 
-TEST_CASE("a key does not change its region by chance")
+TEST_CASE("all requests of a key go to the same region")
 {
     Host host;
     host.useTable();
@@ -329,21 +328,21 @@
         host.report(Host::targetOf("far" + std::to_string(n), "z3", 8));
     }
     for (int key = 0; key < 20; ++key) {
-        std::set<bool> abroad;
+        std::set<bool> inOtherRegion;
         for (int n = 0; n < 6; ++n) {
             const RequestId id = host.request("/read/x", std::to_string(key));
             if (const StartAttempt *start = host.find<StartAttempt>()) {
-                abroad.insert(start->zone == "z3");
+                inOtherRegion.insert(start->zone == "z3");
                 host.end(id, 1, AttemptOutcome::Answered);
             }
         }
-        CHECK(abroad.size() == 1);
+        CHECK(inOtherRegion.size() == 1);
     }
 }
 
-TEST_CASE("over all hosts of a zone a cold target gets no more than it bears")
+TEST_CASE("a cold target gets at most its cold rate over all hosts of a zone")
 {
-    constexpr double PerSecond = 4;
+    constexpr double RequestsPerSecond = 4;
     std::vector<std::unique_ptr<Host>> hosts;
     for (const char *id : {"e1", "e2", "e3", "e4"}) {
         const bool isNear = std::string(id) < "e3";
@@ -370,15 +369,15 @@
             }
         }
     }
-    CHECK(sent <= PerSecond * 4 + 2);
-    CHECK(sent >= PerSecond * 4 / 2);
+    CHECK(sent <= RequestsPerSecond * 4 + 2);
+    CHECK(sent >= RequestsPerSecond * 4 / 2);
 }
 
 namespace
 {
 
-/// What many entry hosts of one zone send in each of three seconds to a target that is cold for longer, with a request
-/// every 10 ms at each host.
+/// Returns how many requests the entry hosts of one zone send in each of three seconds to a target that is cold for
+/// longer, with a request every 10 ms at each host.
 std::vector<int> sentWhileCold(std::vector<std::unique_ptr<Host>> &hosts)
 {
     std::vector<int> sent(3);
@@ -397,10 +396,11 @@
 
 } // namespace
 
-TEST_CASE("many hosts of a zone do not all send to a target at once when it becomes cold")
+// Guards against all hosts sending at the moment when they receive the report of a cold target.
+TEST_CASE("many hosts of a zone spread their first requests to a cold target")
 {
     constexpr int Hosts = 20;
-    constexpr double PerSecond = 4;
+    constexpr double RequestsPerSecond = 4;
     TargetReport cold = Host::targetOf("t1");
     cold.coldLeft = 3500ms;
     ReportsChanged all;
@@ -413,7 +413,7 @@
         for (int n = 0; n < Hosts; ++n) {
             hosts.push_back(std::make_unique<Host>("z1", static_cast<std::uint64_t>(n)));
             Host &host = *hosts.back();
-            if (hasJustStarted) { // hears of everything at once, and of the routing last
+            if (hasJustStarted) { // receives all reports at once, and the routing last
                 host.reduce(all);
                 host.useTable();
                 continue;
@@ -425,13 +425,13 @@
             host.report(cold);
         }
         for (const int count : sentWhileCold(hosts)) {
-            CHECK(count <= 2 * PerSecond);
+            CHECK(count <= 2 * RequestsPerSecond);
             CHECK(count > 0);
         }
     }
 }
 
-TEST_CASE("targets of a zone that is taken back count as cold until they say otherwise")
+TEST_CASE("targets of a zone whose evacuation ends count as cold until they report")
 {
     Host host("z2");
     host.useTable({"z1"});
@@ -440,7 +440,7 @@
     host.report(Host::targetOf("t1", "z1"));
     host.useTable();
     host.request("/read/x");
-    CHECK(host.find<StartAttempt>() == nullptr); // the hosts of its own zone warm it
+    CHECK(host.find<StartAttempt>() == nullptr); // only hosts of its own zone may send to it
     host.now += 100ms;
     TargetReport warm = Host::targetOf("t1", "z1");
     warm.sequence = 2;
@@ -449,7 +449,7 @@
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("retries stay within the part of the budget that one host may use")
+TEST_CASE("retries stay within one host's share of the budget")
 {
     Host host;
     host.table.routes[0].attempts = 5;
@@ -460,21 +460,21 @@
     for (int n = 0; n < 8; ++n) {
         host.report(Host::targetOf("t" + std::to_string(n), "z1", 100));
     }
-    int again = 0;
+    int retries = 0;
     constexpr int Requests = 200;
     for (int n = 0; n < Requests; ++n) {
         const RequestId id = host.request("/read/x");
         unsigned attempt = 1;
         while (host.find<StartAttempt>() != nullptr) {
             host.end(id, attempt++, AttemptOutcome::Shed);
-            again += host.find<StartAttempt>() != nullptr ? 1 : 0;
+            retries += host.find<StartAttempt>() != nullptr ? 1 : 0;
         }
     }
-    CHECK(again > 0);
-    CHECK(again <= 0.2 * Requests + 40.0 / 4);
+    CHECK(retries > 0);
+    CHECK(retries <= 0.2 * Requests + 40.0 / 4);
 }
 
-TEST_CASE("once a part of an answer was passed on its request is neither sent again nor refused")
+TEST_CASE("once a part of an answer was sent to the caller, the request is neither retried nor refused")
 {
     for (const AttemptOutcome outcome : {AttemptOutcome::Lost, AttemptOutcome::TimedOut, AttemptOutcome::NotSent}) {
         Host host;
@@ -495,7 +495,7 @@
     }
 }
 
-TEST_CASE("an answer that was begun ends with its last byte, or with the time of its request")
+TEST_CASE("a streamed answer ends with its last byte, or at the deadline of its request")
 {
     Host host;
     host.useTable();
@@ -514,7 +514,7 @@
     CHECK(host.find<AbortAnswer>()->reason == Refusal::TimedOut);
 }
 
-TEST_CASE("the first answer that begins ends the other attempt at its request")
+TEST_CASE("the first answer that begins cancels the hedged attempt")
 {
     Host host;
     host.useTable();
@@ -532,7 +532,7 @@
     CHECK(host.find<PassHead>() == nullptr);
 }
 
-TEST_CASE("large answers are asked for no faster than the link bears, small ones always")
+TEST_CASE("large answers are requested within the link's budget, small ones always")
 {
     constexpr std::uint64_t LinkBytes = 500000;
     constexpr std::uint64_t LargeBytes = 100000;
@@ -570,7 +570,7 @@
     CHECK(large > Seconds);
 }
 
-TEST_CASE("an answer that was asked for and can't come is given back to the link")
+TEST_CASE("the bytes of an answer that will not arrive are returned to the link's budget")
 {
     BalanceSettings settings = Host::settingsOf("z1", 1);
     settings.linkBytesPerSecond = 500000;
@@ -587,7 +587,7 @@
     }
 }
 
-TEST_CASE("parts of a split get their weights")
+TEST_CASE("the services of a split get requests by their weights")
 {
     Host host;
     host.table.services.push_back({"s2", 100, 3s, 4});
@@ -605,7 +605,7 @@
     CHECK(second == 20);
 }
 
-TEST_CASE("whatever happens, nothing that may have run is called not run or is run again")
+TEST_CASE("a once-only request that may have run is neither reported as not run nor run again")
 {
     CHECK(rc::check([] {
         Host host;
@@ -615,7 +615,7 @@
         }
         std::map<std::uint64_t, bool> mayHaveRun;
         std::map<std::uint64_t, std::vector<unsigned>> open;
-        const auto look = [&] {
+        const auto checkEffects = [&] {
             for (const BalanceEffect &effect : host.effects) {
                 if (const auto *start = std::get_if<StartAttempt>(&effect)) {
                     const auto id = static_cast<std::uint64_t>(start->id);
@@ -637,14 +637,14 @@
             host.now += 30ms;
             if (step < 3) {
                 host.request("/once/x", std::to_string(step));
-                look();
+                checkEffects();
                 continue;
             }
             const auto it =
                 std::find_if(open.begin(), open.end(), [](const auto &entry) { return !entry.second.empty(); });
             if (it == open.end()) {
                 host.reduce(BalanceTick{});
-                look();
+                checkEffects();
                 continue;
             }
             const std::uint64_t id = it->first;
@@ -653,7 +653,7 @@
             const auto outcome = static_cast<AttemptOutcome>(step - 3);
             mayHaveRun[id] |= outcome == AttemptOutcome::Lost || outcome == AttemptOutcome::TimedOut;
             host.end(static_cast<RequestId>(id), attempt, outcome);
-            look();
+            checkEffects();
         }
     }));
 }
@@ -661,7 +661,7 @@
 namespace
 {
 
-TargetReport lifeOf(const std::string &id, Milliseconds startedAt)
+TargetReport incarnationOf(const std::string &id, Milliseconds startedAt)
 {
     TargetReport it = Host::targetOf(id);
     it.startedAt = startedAt;
@@ -670,48 +670,48 @@
 
 } // namespace
 
-TEST_CASE("a request that waits for a connection is not sent to a later incarnation of its target")
+TEST_CASE("an unsent request is not sent to a later incarnation of its target")
 {
     Host host;
     host.useTable();
-    host.report(lifeOf("a", 1000ms));
+    host.report(incarnationOf("a", 1000ms));
     const RequestId id = host.request("/once/x", "k");
     REQUIRE(host.find<StartAttempt>() != nullptr);
     CHECK(host.balancer.maySend(id, 1));
-    host.report(lifeOf("a", 2000ms));
+    host.report(incarnationOf("a", 2000ms));
     CHECK_FALSE(host.balancer.maySend(id, 1));
 }
 
-TEST_CASE("nothing that was learnt of a target holds for its next incarnation")
+TEST_CASE("a new incarnation of a target starts with fresh state")
 {
     Host host;
     host.useTable();
-    host.report(lifeOf("a", 1000ms));
-    // It fills up and fails, until it is taken for gone.
+    host.report(incarnationOf("a", 1000ms));
+    // Each incarnation reports full slots and then counts as replaced.
     for (int n = 0; n < 4; ++n) {
         const RequestId id = host.request("/once/x", "k");
         REQUIRE(host.find<StartAttempt>() != nullptr);
         host.reduce(AttemptEnded{id, 1, AttemptOutcome::WrongTarget, TargetLoad{9, 9, 4}, 0});
-        host.report(lifeOf("a", 2000ms + n * 1000ms));
+        host.report(incarnationOf("a", 2000ms + n * 1000ms));
     }
     host.request("/once/x", "k");
     REQUIRE(host.find<StartAttempt>() != nullptr);
     CHECK(host.find<StartAttempt>()->utilization == Approx(0.25));
 }
 
-TEST_CASE("what becomes of a request of the life before does not touch the next one")
+TEST_CASE("outcomes of requests to the previous incarnation do not affect the next one")
 {
     Host host;
     host.useTable();
-    host.report(lifeOf("a", 1000ms));
+    host.report(incarnationOf("a", 1000ms));
     std::vector<RequestId> before(3);
     std::generate(before.begin(), before.end(), [&] { return host.request("/once/x", "k"); });
-    host.report(lifeOf("a", 2000ms));
+    host.report(incarnationOf("a", 2000ms));
     const RequestId now = host.request("/once/x", "k");
     CHECK(host.find<StartAttempt>()->utilization == Approx(0.25));
     for (const RequestId id : before) {
         host.end(id, 1, AttemptOutcome::Lost);
-        // It may have run there, so it is not said that it has not, and it is not sent again.
+        // It may have run there, so it is neither reported as not run nor retried.
         REQUIRE(host.find<RefuseRequest>() != nullptr);
         CHECK(host.find<RefuseRequest>()->reason == Refusal::Lost);
     }
@@ -722,19 +722,19 @@
     CHECK(host.find<PassAnswer>() != nullptr);
 }
 
-TEST_CASE("a late report of the life before changes nothing, and a control host that only knows that one leaves doubt")
+TEST_CASE("a late report of the previous incarnation changes nothing, and a snapshot with it confirms nothing")
 {
     Host host;
     host.useTable();
-    host.report(lifeOf("a", 2000ms));
-    TargetReport late = lifeOf("a", 1000ms);
+    host.report(incarnationOf("a", 2000ms));
+    TargetReport late = incarnationOf("a", 1000ms);
     late.sequence = 50;
     late.presence = Presence::Gone;
     host.report(late);
     host.request("/read/x", "k");
     CHECK(host.find<StartAttempt>() != nullptr);
     RegistryChanges whole;
-    whole.targets.push_back({lifeOf("a", 1000ms), 0ms, false});
+    whole.targets.push_back({incarnationOf("a", 1000ms), 0ms, false});
     host.reduce(ReportsChanged{whole, true});
     host.now += 7s;
     host.request("/read/x", "k");
--- a/unittests/Balance/LimitedTargetsTest.cpp
+++ b/unittests/Balance/LimitedTargetsTest.cpp
@@ -1,7 +1,7 @@
-//===- LimitedTargetsTest.cpp - Targets that name a limit, over many entry hosts ---===//
+//===- LimitedTargetsTest.cpp - Rate limits of targets over many entry hosts -------===//
 //
-// A drawn network: entry hosts that decide as in the product, targets that answer after a while, and news that takes
-// its time. One target names a limit for a part of the time.
+// A simulated network: entry hosts with real balancers, targets that answer after a fixed service time, and updates
+// that are exchanged at intervals. One target advertises a limit for a part of the time.
 //
 //===----------------------------------------------------------------------===//
 #include "BalanceFixture.h"
@@ -16,18 +16,18 @@
 namespace
 {
 
-constexpr double Excess = 0.5; ///< part of the limit that may be exceeded in a window
-constexpr double Slack = 5; ///< requests besides
+constexpr double Excess = 0.5; ///< share by which the limit may be exceeded in a window
+constexpr double Slack = 5; ///< additional requests in a window
 constexpr Duration Window = 4s;
-constexpr Duration TimeToLearn = 3s;
+constexpr Duration PropagationTime = 3s;
 
 struct LimitPlan {
     unsigned entryHosts = 9;
     double limit = 2;
-    double perSecond = 300; ///< requests to all targets
-    double crowdFactor = 1; ///< so many times the requests come for 3 s
-    bool hasRestarts = false; ///< an entry host starts again every second
-    bool isNamedAlways = true; ///< false: in four of five answers
+    double perSecond = 300; ///< requests per second to all targets
+    double burstFactor = 1; ///< the request rate is multiplied by it for 3 s
+    bool hasRestarts = false; ///< an entry host restarts every second
+    bool isAlwaysAdvertised = true; ///< false: in four of five answers
     std::uint64_t seed = 1;
 };
 
@@ -36,9 +36,9 @@
 public:
     static constexpr unsigned Targets = 24;
     static constexpr unsigned Keys = 120;
-    static constexpr Duration NamedAt = 5s;
+    static constexpr Duration AdvertisedAt = 5s;
     static constexpr Duration LiftedAt = 35s;
-    static constexpr Duration CrowdAt = 20s;
+    static constexpr Duration BurstAt = 20s;
     static constexpr Duration End = 70s;
 
     explicit LimitNetwork(const LimitPlan &plan)
@@ -50,7 +50,7 @@
             start(n);
         }
         for (unsigned n = 0; n < plan.entryHosts; ++n) {
-            tellHosts(n);
+            reportHosts(n);
         }
     }
 
@@ -58,10 +58,10 @@
     {
         const TimePoint end = m_start + End;
         for (m_now = m_start; m_now < end; m_now += Step) {
-            callersAsk();
-            targetsAnswer();
-            if ((m_now - m_start) % NewsInterval < Step) {
-                exchangeNews();
+            sendRequests();
+            sendAnswers();
+            if ((m_now - m_start) % UpdateInterval < Step) {
+                exchangeUpdates();
             }
             if (m_plan.hasRestarts && (m_now - m_start) % RestartInterval < Step) {
                 restart(m_random() % m_hosts.size());
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Most requests at the limited target in a window, between two times after the start.
-    std::size_t mostIn(Duration from, Duration to) const
+    /// Highest number of requests at the limited target in any window between two times after the start.
+    std::size_t maxInWindow(Duration from, Duration to) const
     {
         std::size_t most = 0;
         for (auto first = m_arrivals.begin(); first != m_arrivals.end(); ++first) {
@@ -98,20 +98,20 @@
 private:
     static constexpr Duration Step = 10ms;
     static constexpr Duration Work = 200ms;
-    static constexpr Duration NewsInterval = 250ms;
+    static constexpr Duration UpdateInterval = 250ms;
     static constexpr Duration RestartInterval = 1s;
 
     struct Entry {
         std::string id;
-        unsigned life = 0;
+        unsigned incarnation = 0;
         std::unique_ptr<Host> host;
-        std::uint64_t told = 0; ///< version of its table that the control host has
-        std::uint64_t heard = 0; ///< version of the control host's table that it has
+        std::uint64_t sentVersion = 0; ///< version of its table that the control host has
+        std::uint64_t receivedVersion = 0; ///< version of the control host's table that it has
     };
 
     struct Sent {
         unsigned host = 0;
-        unsigned life = 0;
+        unsigned incarnation = 0;
         StartAttempt attempt;
         TimePoint at{};
     };
@@ -124,8 +124,8 @@
     void start(unsigned n)
     {
         auto entry = std::make_unique<Entry>();
-        entry->life = ++m_lives;
-        entry->id = "entry-" + std::to_string(n) + "#" + std::to_string(entry->life);
+        entry->incarnation = ++m_incarnations;
+        entry->id = "entry-" + std::to_string(n) + "#" + std::to_string(entry->incarnation);
         BalanceSettings settings = Host::settingsOf("z1", m_random());
         settings.host = entry->id;
         entry->host = std::make_unique<Host>(settings);
@@ -137,7 +137,7 @@
         m_hosts[n] = std::move(entry);
     }
 
-    void tellHosts(unsigned n)
+    void reportHosts(unsigned n)
     {
         for (const auto &it : m_hosts) {
             m_hosts[n]->host->report(Host::entryOf(it->id, "z1"));
@@ -148,7 +148,7 @@
     {
         const std::string before = m_hosts[n]->id;
         start(n);
-        tellHosts(n);
+        reportHosts(n);
         HostReport gone = Host::entryOf(before, "z1");
         gone.presence = Presence::Gone;
         for (const auto &it : m_hosts) {
@@ -157,22 +157,22 @@
         }
     }
 
-    void callersAsk()
+    void sendRequests()
     {
         const Duration since = m_now - m_start;
-        const bool isCrowd = since >= CrowdAt && since < CrowdAt + 3s;
-        const double mean = m_plan.perSecond * (isCrowd ? m_plan.crowdFactor : 1) * secondsOf(Step);
+        const bool isBurst = since >= BurstAt && since < BurstAt + 3s;
+        const double mean = m_plan.perSecond * (isBurst ? m_plan.burstFactor : 1) * secondsOf(Step);
         const int count = std::poisson_distribution<int>(mean)(m_random);
         for (int n = 0; n < count; ++n) {
             const auto host = static_cast<unsigned>(m_random() % m_hosts.size());
             Host &entry = *m_hosts[host]->host;
             entry.now = m_now;
             entry.request("/read/", "key" + std::to_string(m_random() % Keys));
-            carryOut(host);
+            applyEffects(host);
         }
     }
 
-    void carryOut(unsigned host)
+    void applyEffects(unsigned host)
     {
         const BalanceEffects effects = m_hosts[host]->host->effects;
         for (const BalanceEffect &it : effects) {
@@ -180,53 +180,54 @@
                 if (attempt->target == targetId(0)) {
                     m_arrivals.push_back(m_now);
                 }
-                m_sent.push_back({host, m_hosts[host]->life, *attempt, m_now});
+                m_sent.push_back({host, m_hosts[host]->incarnation, *attempt, m_now});
             }
-            const bool isSteady = m_now - m_start > 2s && m_plan.crowdFactor <= 1;
+            const bool isSteady = m_now - m_start > 2s && m_plan.burstFactor <= 1;
             m_refused += isSteady && std::holds_alternative<RefuseRequest>(it) ? 1 : 0;
         }
     }
 
-    bool namesLimit()
+    bool advertisesLimit()
     {
         const Duration since = m_now - m_start;
-        const bool isNamed = since >= NamedAt && since < LiftedAt;
-        return isNamed && (m_plan.isNamedAlways || m_random() % 5 > 0);
+        const bool isAdvertised = since >= AdvertisedAt && since < LiftedAt;
+        return isAdvertised && (m_plan.isAlwaysAdvertised || m_random() % 5 > 0);
     }
 
-    void targetsAnswer()
+    void sendAnswers()
     {
         while (!m_sent.empty() && m_sent.front().at + Work <= m_now) {
             const Sent sent = m_sent.front();
             m_sent.pop_front();
-            if (m_hosts[sent.host]->life != sent.life) {
+            if (m_hosts[sent.host]->incarnation != sent.incarnation) {
                 continue;
             }
             Host &entry = *m_hosts[sent.host]->host;
             entry.now = m_now;
             TargetSignalled signalled{{sent.attempt.target, sent.attempt.targetStartedAt}, {}, sent.at};
-            if (sent.attempt.target == targetId(0) && namesLimit()) {
+            if (sent.attempt.target == targetId(0) && advertisesLimit()) {
                 signalled.signal.perSecond = m_plan.limit;
             }
             entry.reduce(signalled);
             entry.reduce(AttemptEnded{sent.attempt.id, sent.attempt.attempt, AttemptOutcome::Answered, {}, 0});
-            carryOut(sent.host);
+            applyEffects(sent.host);
         }
     }
 
-    void exchangeNews()
+    void exchangeUpdates()
     {
         for (const auto &it : m_hosts) {
             const BackpressureTable &table = it->host->balancer.backpressure();
-            for (const BackpressureReport &report : table.changedSince(it->told, NewsReader::ControlHost, m_now)) {
+            for (const BackpressureReport &report :
+                 table.changedSince(it->sentVersion, NewsReader::ControlHost, m_now)) {
                 m_control.merge(report, true, m_now);
             }
-            it->told = table.version();
+            it->sentVersion = table.version();
         }
         for (const auto &it : m_hosts) {
             it->host->now = m_now;
-            const auto reports = m_control.changedSince(it->heard, NewsReader::EntryHost, m_now);
-            it->heard = m_control.version();
+            const auto reports = m_control.changedSince(it->receivedVersion, NewsReader::EntryHost, m_now);
+            it->receivedVersion = m_control.version();
             if (!reports.empty()) {
                 it->host->reduce(BackpressureReceived{reports});
             }
@@ -243,7 +244,7 @@
     std::deque<Sent> m_sent;
     std::vector<TimePoint> m_arrivals; ///< at the limited target
     unsigned m_refused = 0;
-    unsigned m_lives = 0;
+    unsigned m_incarnations = 0;
 };
 
 double allowed(double limit)
@@ -269,18 +270,19 @@
 
 } // namespace
 
-// Guards against a limited target being sent more than its limit by all entry hosts together, or nothing at all.
-TEST_CASE("entry hosts together keep a target's limit in a crowd, over restarts, and where it is named now and then")
+// Guards against all entry hosts together sending a limited target more than its limit, or nothing at all.
+TEST_CASE("entry hosts together keep a target's limit in a burst, over restarts, and if only some answers advertise it")
 {
     for (LimitPlan plan : plans()) {
         for (plan.seed = 1; plan.seed <= 3; ++plan.seed) {
             LimitNetwork network(plan);
             network.run();
-            CAPTURE(plan.entryHosts, plan.limit, plan.crowdFactor, plan.hasRestarts, plan.isNamedAlways, plan.seed);
-            const Duration from = LimitNetwork::NamedAt + TimeToLearn;
-            const double before = network.rateIn(2s, LimitNetwork::NamedAt);
+            CAPTURE(plan.entryHosts, plan.limit, plan.burstFactor, plan.hasRestarts, plan.isAlwaysAdvertised,
+                    plan.seed);
+            const Duration from = LimitNetwork::AdvertisedAt + PropagationTime;
+            const double before = network.rateIn(2s, LimitNetwork::AdvertisedAt);
             CHECK(before > plan.limit);
-            CHECK(static_cast<double>(network.mostIn(from, LimitNetwork::LiftedAt)) <= allowed(plan.limit));
+            CHECK(static_cast<double>(network.maxInWindow(from, LimitNetwork::LiftedAt)) <= allowed(plan.limit));
             const double limited = network.rateIn(from, LimitNetwork::LiftedAt);
             CHECK(limited > 0);
             CHECK(limited <= plan.limit + Slack / secondsOf(LimitNetwork::LiftedAt - from));
@@ -290,14 +292,14 @@
     }
 }
 
-TEST_CASE("of nine entry hosts the owners of a limit use more than half of it", "[use]")
+TEST_CASE("with nine entry hosts the owners of a limit use more than half of it", "[use]")
 {
     for (const double limit : {0.5, 1.5, 2.2, 4.0}) {
         LimitPlan plan;
         plan.limit = limit;
         LimitNetwork network(plan);
         network.run();
-        const double rate = network.rateIn(LimitNetwork::NamedAt + TimeToLearn, LimitNetwork::LiftedAt);
+        const double rate = network.rateIn(LimitNetwork::AdvertisedAt + PropagationTime, LimitNetwork::LiftedAt);
         CAPTURE(limit, rate);
         CHECK(rate > limit / 2);
     }
--- a/unittests/Balance/LinkLoadTest.cpp
+++ b/unittests/Balance/LinkLoadTest.cpp
@@ -1,10 +1,10 @@
 //===- LinkLoadTest.cpp - Large answers over narrow links of many hosts ---===//
 //
-// The pattern: many entry hosts with links of 2.6 Mbit/s, and callers who ask for
-// answers of 90 KB from any of them by chance. One answer fills a host's link for
-// 0.7 s, so a caller often meets a host whose link is taken while most others are
-// free. The figures are those of a deployment with 273 such hosts, whose links are
-// half used by 1.45 answers a second each.
+// Many entry hosts have links of 2.6 Mbit/s, and callers request answers of 90 KB
+// from a random one of them. One answer fills a host's link for 0.7 s, so a caller
+// often meets a host with a full link while the links of most others are free. The
+// figures are those of a deployment with 273 such hosts, whose links are half used
+// by 1.45 answers per second each.
 //
 //===----------------------------------------------------------------------===//
 #include "BalanceFixture.h"
@@ -24,14 +24,14 @@
 constexpr std::size_t Hosts = 40;
 constexpr std::uint64_t LinkBytes = 325000;
 constexpr std::uint64_t LargeBytes = 90000;
-/// Of the answers that the links take: four tenths of each link, since an answer passes it twice.
-constexpr double UsedPart = 0.5;
-constexpr double ArrivalsPerSecond = Hosts * UsedPart * 0.4 * LinkBytes / LargeBytes;
+/// Share of the links' answer budget, which is 0.4 of each link, since an answer passes it twice.
+constexpr double Utilization = 0.5;
+constexpr double ArrivalsPerSecond = Hosts * Utilization * 0.4 * LinkBytes / LargeBytes;
 constexpr int Callers = 4000;
 
 struct Try {
     TimePoint at{};
-    TimePoint since{}; ///< of the caller's first try
+    TimePoint since{}; ///< time of the caller's first try
     bool isFirst = true;
 
     bool operator>(const Try &other) const
@@ -42,12 +42,12 @@
 
 struct Outcome {
     int atOnce = 0;
-    int second = 0; ///< taken by the second host
-    int refused = 0; ///< by both
-    Duration longestWait{}; ///< of those that the second host took
+    int second = 0; ///< admitted by the second host
+    int refused = 0; ///< by both hosts
+    Duration longestWait{}; ///< of the callers that the second host admitted
 };
 
-Outcome play()
+Outcome simulate()
 {
     std::vector<std::unique_ptr<Host>> hosts;
     for (std::size_t n = 0; n < Hosts; ++n) {
@@ -92,28 +92,28 @@
 
 } // namespace
 
-TEST_CASE("a caller who meets a full link is taken by the next host, while an answer is still in time")
+TEST_CASE("a caller that meets a full link is admitted by the next host soon enough for an answer in time")
 {
-    const Outcome outcome = play();
+    const Outcome outcome = simulate();
     INFO("at once " << outcome.atOnce << ", second " << outcome.second << ", refused " << outcome.refused);
-    const int met = outcome.second + outcome.refused;
-    CHECK(met > Callers / 4);
-    CHECK(outcome.second > met / 2);
+    const int refusedFirst = outcome.second + outcome.refused;
+    CHECK(refusedFirst > Callers / 4);
+    CHECK(outcome.second > refusedFirst / 2);
     CHECK(outcome.longestWait <= 50ms);
 }
 
 namespace
 {
 
-// The second pattern: small answers of 5 KB come all the time and large ones of 90 KB now and then, together nine
-// tenths of what the link may be asked for; one large answer is more than a third of a second of it.
+// A steady stream of small answers of 5 KB and a few large ones of 90 KB, together nine tenths of the link's budget.
+// One large answer takes more than a third of a second of the budget.
 constexpr std::uint64_t MixedLinkBytes = 712500;
 constexpr std::uint64_t SmallBytes = 5000;
 constexpr double SmallPerSecond = 24.5;
 constexpr double LargePerSecond = 1.44;
 
-/// Part of the large answers that one host takes at once.
-double largeTaken()
+/// Returns the share of the large answers that one host admits at once.
+double admittedLargeShare()
 {
     BalanceSettings settings = Host::settingsOf("z1", 1);
     settings.linkBytesPerSecond = MixedLinkBytes;
@@ -133,23 +133,23 @@
     std::mt19937_64 random(1);
     std::exponential_distribution<double> gap(SmallPerSecond + LargePerSecond);
     std::bernoulli_distribution isLarge(LargePerSecond / (SmallPerSecond + LargePerSecond));
-    int asked = 0;
-    int taken = 0;
-    while (asked < Callers) {
+    int requested = 0;
+    int admitted = 0;
+    while (requested < Callers) {
         host.now += std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap(random)));
         if (!isLarge(random)) {
             REQUIRE(serve("/once/x", SmallBytes));
             continue;
         }
-        ++asked;
-        taken += serve("/read/x", LargeBytes) ? 1 : 0;
+        ++requested;
+        admitted += serve("/read/x", LargeBytes) ? 1 : 0;
     }
-    return static_cast<double>(taken) / asked;
+    return static_cast<double>(admitted) / requested;
 }
 
 } // namespace
 
-TEST_CASE("beside many small answers most of the large ones are taken at once, and each small one")
+TEST_CASE("beside many small answers most large ones are admitted at once, and all small ones")
 {
-    CHECK(largeTaken() > 0.5);
+    CHECK(admittedLargeShare() > 0.5);
 }
--- a/unittests/Balance/RegionPlanTest.cpp
+++ b/unittests/Balance/RegionPlanTest.cpp
@@ -1,4 +1,4 @@
-//===- RegionPlanTest.cpp - Spill between regions -------------------------===//
+//===- RegionPlanTest.cpp - Tests of the traffic shares of regions --------===//
 #include "Balance/RegionPlan.h"
 
 #include <catch2/catch.hpp>
@@ -14,13 +14,13 @@
 
 } // namespace
 
-TEST_CASE("a region that can serve its own callers keeps them")
+TEST_CASE("a region that can serve its own callers serves all of them")
 {
     const RegionShares shares = plannedShares("a", {{"a", 10}, {"b", 10}}, {{"a", 5.5}, {"b", 2}});
     CHECK(shares.at("a") == Approx(1));
 }
 
-TEST_CASE("what a region can't serve goes to the room of the others")
+TEST_CASE("demand that a region can't serve goes to the spare capacity of others")
 {
     const RegionShares shares = plannedShares("a", {{"a", 10}, {"b", 30}, {"c", 10}}, {{"a", 12}, {"b", 4}, {"c", 8}});
     CHECK(shares.at("a") == Approx(0.5));
@@ -28,13 +28,13 @@
     CHECK(shares.count("c") == 0);
 }
 
-TEST_CASE("all regions are filled alike when there is too much for all")
+TEST_CASE("all regions get the same utilization when the demand exceeds the capacity")
 {
     const RegionShares shares = plannedShares("a", {{"a", 10}, {"b", 30}}, {{"a", 60}, {"b", 20}});
     CHECK(shares.at("a") == Approx(10.0 * 2 / 60));
 }
 
-TEST_CASE("shares move no faster than allowed, but leave a region without targets at once")
+TEST_CASE("shares move at a bounded rate, but leave a region without targets at once")
 {
     RegionPlan plan(0.05);
     const std::map<std::string, double> both{{"a", 10}, {"b", 10}};
@@ -48,7 +48,7 @@
     CHECK(plan.regionAt(0.01) == "b");
 }
 
-TEST_CASE("keys follow the shares, and a share that grows moves no other key")
+TEST_CASE("keys are distributed by the shares, and a share that grows moves no other key")
 {
     constexpr std::uint64_t Keys = 2000;
     const std::map<std::string, double> all{{"a", 10}, {"b", 10}, {"c", 10}};
--- a/unittests/Balance/SuspicionTest.cpp
+++ b/unittests/Balance/SuspicionTest.cpp
@@ -1,4 +1,4 @@
-//===- SuspicionTest.cpp - Requests that end targets, at one entry host ------------===//
+//===- SuspicionTest.cpp - Requests that crash targets, at one entry host ----------===//
 #include "BalanceFixture.h"
 
 #include <catch2/catch.hpp>
@@ -9,11 +9,11 @@
 namespace
 {
 
-/// A host with a target for each try that a test makes.
-class SuspectingHost : public Host
+/// A host with enough targets for the crashes in a test.
+class QuarantineHost : public Host
 {
 public:
-    SuspectingHost()
+    QuarantineHost()
     {
         useTable();
         for (int n = 0; n < 8; ++n) {
@@ -21,20 +21,20 @@
         }
     }
 
-    RequestId ask(const std::string &path = "/read/x", const std::string &digest = "d")
+    RequestId sendRequest(const std::string &path = "/read/x", const std::string &digest = "d")
     {
         const auto id = static_cast<RequestId>(++lastRequest);
         reduce(CallerRequest{id, "h", path, {}, 2s, digest});
         return id;
     }
 
-    /// The target of the newest attempt closes its connection without an answer.
-    void lose(RequestId id, unsigned attempt)
+    /// The target of an attempt closes its connection without an answer.
+    void loseConnection(RequestId id, unsigned attempt)
     {
         reduce(AttemptEnded{id, attempt, AttemptOutcome::Lost, {}, 0, true});
     }
 
-    void check(bool isRefused)
+    void checkTarget(bool isRefused)
     {
         const CheckTarget *const effect = find<CheckTarget>();
         REQUIRE(effect != nullptr);
@@ -42,19 +42,19 @@
         reduce(TargetChecked{checked.target, isRefused});
     }
 
-    /// A new try whose target ends.
-    void endTarget(const std::string &path = "/once/x")
+    /// Sends a request whose target crashes.
+    void crashTarget(const std::string &path = "/once/x")
     {
-        const RequestId id = ask(path);
+        const RequestId id = sendRequest(path);
         REQUIRE(find<StartAttempt>() != nullptr);
         const std::string target = find<StartAttempt>()->target;
-        lose(id, 1);
-        check(true);
-        const BalanceEffects told = effects;
+        loseConnection(id, 1);
+        checkTarget(true);
+        const BalanceEffects saved = effects;
         TargetReport gone = targetOf(target);
         gone.presence = Presence::Gone;
         report(gone);
-        effects = told;
+        effects = saved;
     }
 
     Refusal refusal()
@@ -66,110 +66,110 @@
 
 } // namespace
 
-TEST_CASE("a request under which three targets ended is refused as not run, and others are sent")
+TEST_CASE("a request under which three targets crashed is refused as not run, and others are sent")
 {
-    SuspectingHost host;
-    host.endTarget();
-    host.endTarget();
+    QuarantineHost host;
+    host.crashTarget();
+    host.crashTarget();
     CHECK(host.find<SuspectChanged>()->standing == Standing::Suspected);
     CHECK(host.find<SuspectChanged>()->isLocal);
-    host.endTarget();
+    host.crashTarget();
     CHECK(host.find<SuspectChanged>()->standing == Standing::ShutOut);
-    host.ask();
+    host.sendRequest();
     CHECK(host.find<StartAttempt>() == nullptr);
     CHECK(host.refusal() == Refusal::Quarantined);
     CHECK(promisesNotRun(Refusal::Quarantined));
     CHECK(host.find<RefuseRequest>()->retryAfter == 60s);
     CHECK(host.balancer.openRequests() == 0);
-    host.ask("/read/x", "another");
+    host.sendRequest("/read/x", "another");
     CHECK(host.find<StartAttempt>() != nullptr);
-    host.ask("/read/x", "");
+    host.sendRequest("/read/x", "");
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("a loss is no end of a target that still listens, nor where the connection did not end")
+TEST_CASE("a loss counts as a crash only if the connection ended and the target does not listen")
 {
-    SuspectingHost host;
+    QuarantineHost host;
     for (int n = 0; n < 5; ++n) {
-        const RequestId id = host.ask("/once/x");
-        host.lose(id, 1);
-        host.check(false);
-        const RequestId late = host.ask("/once/x");
+        const RequestId id = host.sendRequest("/once/x");
+        host.loseConnection(id, 1);
+        host.checkTarget(false);
+        const RequestId late = host.sendRequest("/once/x");
         host.end(late, 1, AttemptOutcome::TimedOut);
         CHECK(host.find<CheckTarget>() == nullptr);
-        const RequestId spoilt = host.ask("/once/x");
-        host.end(spoilt, 1, AttemptOutcome::Lost);
+        const RequestId reset = host.sendRequest("/once/x");
+        host.end(reset, 1, AttemptOutcome::Lost);
         CHECK(host.find<CheckTarget>() == nullptr);
     }
     CHECK(host.balancer.quarantine().size() == 0);
 }
 
-TEST_CASE("all requests that were lost at one end are noted, by one check, and the target is not chosen meanwhile")
+TEST_CASE("one check records all requests that were lost at a crash, and the target is not chosen afterwards")
 {
-    SuspectingHost host;
+    QuarantineHost host;
     host.table.services.clear();
-    const RequestId first = host.ask("/once/x", "d1");
+    const RequestId first = host.sendRequest("/once/x", "d1");
     const std::string target = host.find<StartAttempt>()->target;
     RequestId second{};
     while (second == RequestId{}) {
-        const RequestId id = host.ask("/once/x", "d2");
+        const RequestId id = host.sendRequest("/once/x", "d2");
         if (host.find<StartAttempt>()->target == target) {
             second = id;
         }
     }
-    host.lose(first, 1);
-    const CheckTarget check = *host.find<CheckTarget>();
-    host.lose(second, 1);
+    host.loseConnection(first, 1);
+    const CheckTarget checkTarget = *host.find<CheckTarget>();
+    host.loseConnection(second, 1);
     CHECK(host.find<CheckTarget>() == nullptr);
-    host.reduce(TargetChecked{check.target, true});
+    host.reduce(TargetChecked{checkTarget.target, true});
     CHECK(host.balancer.quarantine().endsUnder("d1") == 1);
     CHECK(host.balancer.quarantine().endsUnder("d2") == 1);
     for (int n = 0; n < 20; ++n) {
-        host.ask("/once/x", "d3");
+        host.sendRequest("/once/x", "d3");
         CHECK(host.find<StartAttempt>()->target != target);
     }
 }
 
-TEST_CASE("the first loss of a request that may be repeated is made good, a suspected one is not sent on")
+TEST_CASE("a repeatable request is retried after its first loss, and a suspected one is not")
 {
-    SuspectingHost host;
-    const RequestId id = host.ask();
-    host.lose(id, 1);
+    QuarantineHost host;
+    const RequestId id = host.sendRequest();
+    host.loseConnection(id, 1);
     REQUIRE(host.find<StartAttempt>() != nullptr);
-    host.check(true);
-    host.endTarget();
-    const RequestId suspected = host.ask();
+    host.checkTarget(true);
+    host.crashTarget();
+    const RequestId suspected = host.sendRequest();
     REQUIRE(host.find<StartAttempt>() != nullptr);
-    host.lose(suspected, 1);
+    host.loseConnection(suspected, 1);
     CHECK(host.find<StartAttempt>() == nullptr);
     CHECK(host.refusal() == Refusal::Lost);
-    // A target that did not run it is another matter.
-    const RequestId again = host.ask();
-    host.end(again, 1, AttemptOutcome::NotSent);
+    // A suspected request that was not run is retried.
+    const RequestId retry = host.sendRequest();
+    host.end(retry, 1, AttemptOutcome::NotSent);
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("a silent target is not doubled by a second one for a suspected request")
+TEST_CASE("a suspected request is not hedged when its target is unresponsive")
 {
-    SuspectingHost host;
-    host.endTarget();
-    host.endTarget();
-    host.ask("/read/x", "d");
+    QuarantineHost host;
+    host.crashTarget();
+    host.crashTarget();
+    host.sendRequest("/read/x", "d");
     host.now += 1900ms;
     host.reduce(BalanceTick{});
     CHECK(host.find<StartAttempt>() == nullptr);
-    SuspectingHost other;
-    other.ask("/read/x", "d");
+    QuarantineHost other;
+    other.sendRequest("/read/x", "d");
     other.now += 1900ms;
     other.reduce(BalanceTick{});
     CHECK(other.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("what another host tells counts with what was seen here, also for a request that was not sent yet")
+TEST_CASE("crashes that other hosts report add to those seen here, also for a request that is not sent yet")
 {
-    SuspectingHost host;
-    host.endTarget();
-    const RequestId waiting = host.ask("/once/x");
+    QuarantineHost host;
+    host.crashTarget();
+    const RequestId waiting = host.sendRequest("/once/x");
     CHECK(host.balancer.maySend(waiting, 1));
     host.reduce(SuspectsReceived{{{"d", {{{"far-1", 0ms}, 5ms, false}, {{"far-2", 0ms}, 9ms, false}}, 0, 0ms}}});
     REQUIRE(host.find<SuspectChanged>() != nullptr);
@@ -180,82 +180,82 @@
     CHECK(host.refusal() == Refusal::Quarantined);
 }
 
-TEST_CASE("an answer frees a request that was sent before it was shut out")
+TEST_CASE("an answer to an attempt from before the quarantine frees the request")
 {
-    SuspectingHost host;
-    const RequestId sent = host.ask();
-    host.endTarget();
-    host.endTarget();
-    host.endTarget();
+    QuarantineHost host;
+    const RequestId sent = host.sendRequest();
+    host.crashTarget();
+    host.crashTarget();
+    host.crashTarget();
     CHECK(host.find<CancelAttempt>() == nullptr);
     host.end(sent, 1, AttemptOutcome::Answered);
     CHECK(host.find<PassAnswer>() != nullptr);
     REQUIRE(host.find<SuspectChanged>() != nullptr);
     CHECK(host.find<SuspectChanged>()->isLocal);
     CHECK(host.find<SuspectChanged>()->standing == Standing::Free);
-    host.ask();
+    host.sendRequest();
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("a failure that a target answers frees nothing")
+TEST_CASE("an answer that reports a failure of the target does not free the request")
 {
-    SuspectingHost host;
-    const RequestId sent = host.ask();
-    host.endTarget();
-    host.endTarget();
-    host.endTarget();
+    QuarantineHost host;
+    const RequestId sent = host.sendRequest();
+    host.crashTarget();
+    host.crashTarget();
+    host.crashTarget();
     host.reduce(AttemptEnded{sent, 1, AttemptOutcome::Answered, {}, 0, false, true});
     CHECK(host.find<PassAnswer>() != nullptr);
-    host.ask();
+    host.sendRequest();
     CHECK(host.refusal() == Refusal::Quarantined);
 }
 
-TEST_CASE("a trial is asked for once, holds nobody up, and is sent once")
+TEST_CASE("a probe is requested once, delays no other request, and is sent once")
 {
-    SuspectingHost host;
+    QuarantineHost host;
     for (int n = 0; n < 3; ++n) {
-        host.endTarget();
+        host.crashTarget();
     }
     host.now += 61s;
-    const RequestId tried = host.ask();
+    const RequestId probe = host.sendRequest();
     CHECK(host.find<StartAttempt>() == nullptr);
     REQUIRE(host.find<RequestProbe>() != nullptr);
     CHECK(host.find<RequestProbe>()->digest == "d");
-    host.ask();
+    host.sendRequest();
     CHECK(host.find<RequestProbe>() == nullptr);
     CHECK(host.refusal() == Refusal::Quarantined);
-    SECTION("granted: one target, and none after it")
+    SECTION("granted: one attempt and no retry")
     {
-        host.reduce(ProbeDecided{tried, true});
+        host.reduce(ProbeDecided{probe, true});
         REQUIRE(host.find<StartAttempt>() != nullptr);
-        CHECK(host.balancer.maySend(tried, 1));
-        host.ask();
+        CHECK(host.balancer.maySend(probe, 1));
+        host.sendRequest();
         CHECK(host.refusal() == Refusal::Quarantined);
-        host.lose(tried, 1);
+        host.loseConnection(probe, 1);
         CHECK(host.find<StartAttempt>() == nullptr);
         CHECK(host.refusal() == Refusal::Lost);
-        host.check(true);
+        host.checkTarget(true);
         CHECK(host.balancer.quarantine().endsUnder("d") == 4);
     }
     SECTION("granted and answered: free")
     {
-        host.reduce(ProbeDecided{tried, true});
-        host.end(tried, 1, AttemptOutcome::Answered);
-        host.ask();
+        host.reduce(ProbeDecided{probe, true});
+        host.end(probe, 1, AttemptOutcome::Answered);
+        host.sendRequest();
         CHECK(host.find<StartAttempt>() != nullptr);
     }
     SECTION("not granted")
     {
-        host.reduce(ProbeDecided{tried, false});
+        host.reduce(ProbeDecided{probe, false});
         CHECK(host.refusal() == Refusal::Quarantined);
         CHECK(host.balancer.openRequests() == 0);
     }
-    SECTION("no word from the control hosts")
+    SECTION("no reply from the control hosts")
     {
         host.now += 3s;
         host.reduce(BalanceTick{});
         CHECK(host.refusal() == Refusal::Quarantined);
-        host.reduce(ProbeDecided{tried, true});
+        host.reduce(ProbeDecided{probe, true});
         CHECK(host.find<StartAttempt>() == nullptr);
     }
 }
--- a/unittests/Balance/TenantTest.cpp
+++ b/unittests/Balance/TenantTest.cpp
@@ -1,4 +1,4 @@
-//===- TenantTest.cpp - Who may ask, and in whose name --------------------===//
+//===- TenantTest.cpp - Tests of tenants' keys, regions and limits --------===//
 #include "BalanceFixture.h"
 
 #include <catch2/catch.hpp>
@@ -19,16 +19,16 @@
         useTable();
         report(targetOf("a"));
         report(targetOf("far", "z3"));
-        hearNews();
+        receiveUpdate();
     }
 
-    /// The host is told that it knows all there is.
-    void hearNews()
+    /// Receives an update after which the host has all routing.
+    void receiveUpdate()
     {
         reduce(UpdateReceived{now});
     }
 
-    RequestId ask(const std::string &path, const std::string &key)
+    RequestId sendRequest(const std::string &path, const std::string &key)
     {
         const auto id = static_cast<RequestId>(++lastRequest);
         CallerRequest request{id, "h", path, {}, {}};
@@ -43,7 +43,7 @@
         return effect == nullptr ? std::nullopt : std::optional(effect->reason);
     }
 
-    void putTable()
+    void publishTable()
     {
         ++table.version;
         useTable();
@@ -52,93 +52,93 @@
 
 } // namespace
 
-TEST_CASE("a request goes out in the name of the tenant that holds its key")
+TEST_CASE("a request belongs to the tenant that holds its key")
 {
     TenantHost host;
-    host.ask("/once/x", "k1b");
+    host.sendRequest("/once/x", "k1b");
     REQUIRE(host.find<StartAttempt>() != nullptr);
     CHECK(host.find<StartAttempt>()->tenant == "t1");
     CHECK(host.find<StartAttempt>()->hasTenants);
-    host.ask("/once/x", "k2");
+    host.sendRequest("/once/x", "k2");
     CHECK(host.find<StartAttempt>()->tenant == "t2");
 }
 
-TEST_CASE("a key that nobody holds, or none, is refused at once")
+TEST_CASE("a request with an unknown key or without a key is refused at once")
 {
     TenantHost host;
-    host.ask("/once/x", "k9");
+    host.sendRequest("/once/x", "k9");
     CHECK(host.refusal() == Refusal::UnknownKey);
     CHECK(host.find<RefuseRequest>()->retryAfter == 0ms);
-    host.ask("/once/x", "");
+    host.sendRequest("/once/x", "");
     CHECK(host.refusal() == Refusal::UnknownKey);
 }
 
-TEST_CASE("a host that may not have heard of a new key does not deny it")
+TEST_CASE("a host that may not have received a new key does not deny it")
 {
     TenantHost host;
     host.now += NewsLease + 1ms;
-    host.ask("/once/x", "k9");
+    host.sendRequest("/once/x", "k9");
     CHECK(host.refusal() == Refusal::RoutingLate);
-    host.hearNews();
-    host.ask("/once/x", "k9");
+    host.receiveUpdate();
+    host.sendRequest("/once/x", "k9");
     CHECK(host.refusal() == Refusal::UnknownKey);
     host.reduce(UpdateReceived{host.now, host.now});
-    host.ask("/once/x", "k9");
+    host.sendRequest("/once/x", "k9");
     CHECK(host.refusal() == Refusal::RoutingLate);
 }
 
-TEST_CASE("a public route needs no key, and a known key still names its tenant")
+TEST_CASE("a public route needs no key, and a known key still identifies its tenant")
 {
     TenantHost host;
     host.table.routes[0].isPublic = true;
-    host.putTable();
-    host.ask("/read/x", "");
+    host.publishTable();
+    host.sendRequest("/read/x", "");
     REQUIRE(host.find<StartAttempt>() != nullptr);
     CHECK(host.find<StartAttempt>()->tenant.empty());
     CHECK(host.find<StartAttempt>()->hasTenants);
-    host.ask("/read/x", "k9");
+    host.sendRequest("/read/x", "k9");
     CHECK(host.find<StartAttempt>()->tenant.empty());
-    host.ask("/read/x", "k2");
+    host.sendRequest("/read/x", "k2");
     CHECK(host.find<StartAttempt>()->tenant == "t2");
 }
 
-TEST_CASE("a table without tenants asks for no key")
+TEST_CASE("a table without tenants requires no key")
 {
     TenantHost host;
     host.table.tenants.clear();
-    host.putTable();
-    host.ask("/once/x", "");
+    host.publishTable();
+    host.sendRequest("/once/x", "");
     REQUIRE(host.find<StartAttempt>() != nullptr);
     CHECK_FALSE(host.find<StartAttempt>()->hasTenants);
 }
 
-TEST_CASE("a key that was taken away before the request is sent is not sent with")
+TEST_CASE("an unsent request is withdrawn if its key is removed")
 {
     TenantHost host;
-    const RequestId id = host.ask("/once/x", "k1");
+    const RequestId id = host.sendRequest("/once/x", "k1");
     REQUIRE(host.balancer.maySend(id, 1));
     host.table.tenants[0].keyDigests = {"k1b"};
-    host.putTable();
+    host.publishTable();
     CHECK_FALSE(host.balancer.maySend(id, 1));
     host.end(id, 1, AttemptOutcome::Withdrawn);
     CHECK(host.refusal() == Refusal::RouteChanged);
-    host.hearNews();
-    host.ask("/once/x", "k1");
+    host.receiveUpdate();
+    host.sendRequest("/once/x", "k1");
     CHECK(host.refusal() == Refusal::UnknownKey);
-    // It comes back.
+    // The key is added again.
     host.table.tenants[0].keyDigests = {"k1"};
-    host.putTable();
-    host.ask("/once/x", "k1");
+    host.publishTable();
+    host.sendRequest("/once/x", "k1");
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("a key that was given to another tenant before the request is sent goes out in that one's name")
+TEST_CASE("an unsent request whose key is given to another tenant is sent for that tenant")
 {
     TenantHost host;
-    const RequestId id = host.ask("/once/x", "k1");
+    const RequestId id = host.sendRequest("/once/x", "k1");
     host.table.tenants[0].keyDigests = {"k1b"};
     host.table.tenants[1].keyDigests = {"k2", "k1"};
-    host.putTable();
+    host.publishTable();
     CHECK_FALSE(host.balancer.maySend(id, 1));
     host.end(id, 1, AttemptOutcome::Withdrawn);
     REQUIRE(host.find<StartAttempt>() != nullptr);
@@ -146,81 +146,81 @@
     CHECK(host.balancer.maySend(id, 2));
 }
 
-TEST_CASE("a second attempt asks for the key again")
+TEST_CASE("a retry looks up the key again")
 {
     TenantHost host;
-    const RequestId id = host.ask("/read/x", "k1");
+    const RequestId id = host.sendRequest("/read/x", "k1");
     host.table.tenants[0].keyDigests = {};
-    host.putTable();
+    host.publishTable();
     host.end(id, 1, AttemptOutcome::Lost);
     CHECK(host.find<StartAttempt>() == nullptr);
     CHECK(host.refusal() == Refusal::Lost);
 }
 
-TEST_CASE("homes of a tenant bind as those of a route do, and both together where both are named")
+TEST_CASE("home regions of tenants and of routes both apply")
 {
     TenantHost host;
     host.table.tenants[0].homeRegions = {"r2"};
     host.table.routes[1].homeRegions = {"r1", "r2"};
-    host.putTable();
-    host.ask("/read/x", "k1");
+    host.publishTable();
+    host.sendRequest("/read/x", "k1");
     REQUIRE(host.find<StartAttempt>() != nullptr);
     CHECK(host.find<StartAttempt>()->target == "far");
     CHECK(host.find<StartAttempt>()->hasHomeRegions);
-    host.ask("/once/x", "k1");
+    host.sendRequest("/once/x", "k1");
     CHECK(host.find<StartAttempt>()->target == "far");
     host.table.routes[1].homeRegions = {"r1"};
-    host.putTable();
-    host.ask("/once/x", "k1");
+    host.publishTable();
+    host.sendRequest("/once/x", "k1");
     CHECK(host.refusal() == Refusal::NoTarget);
-    host.ask("/once/x", "k2");
+    host.sendRequest("/once/x", "k2");
     CHECK(host.find<StartAttempt>()->target == "a");
 }
 
-TEST_CASE("a tenant that was given a home before the request is sent does not leave it")
+TEST_CASE("an unsent request is withdrawn if its target is outside new home regions of the tenant")
 {
     TenantHost host;
-    const RequestId id = host.ask("/once/x", "k2");
+    const RequestId id = host.sendRequest("/once/x", "k2");
     REQUIRE(host.find<StartAttempt>()->target == "a");
     host.table.tenants[1].homeRegions = {"r2"};
-    host.putTable();
+    host.publishTable();
     CHECK_FALSE(host.balancer.maySend(id, 1));
 }
 
-TEST_CASE("a tenant's priority goes before that of the route")
+TEST_CASE("a tenant's priority overrides that of the route")
 {
-    // At a target that is full but for the room that less urgent requests leave, only an urgent one is let in.
+    // A target whose only spare capacity is what less urgent requests leave admits only an urgent one.
     TenantHost host;
     host.table.routes[0].priority = 2;
     host.table.tenants[0].priority = 0;
     host.table.tenants[1].priority = 3;
-    host.putTable();
-    for (int n = 0; n < 40; ++n) { // learns how long requests take
-        const RequestId id = host.ask("/read/x", "k1");
+    host.publishTable();
+    for (int n = 0; n < 40; ++n) { // learns the service time
+        const RequestId id = host.sendRequest("/read/x", "k1");
         host.now += 350ms;
-        host.hearNews();
+        host.receiveUpdate();
         host.end(id, 1, AttemptOutcome::Answered);
     }
     for (int n = 0; n < 3; ++n) {
-        host.ask("/read/x", "k1");
+        host.sendRequest("/read/x", "k1");
     }
-    host.ask("/read/x", "k2");
+    host.sendRequest("/read/x", "k2");
     CHECK(host.refusal() == Refusal::Overloaded);
-    host.ask("/read/x", "k1");
+    host.sendRequest("/read/x", "k1");
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("over the limit a request is refused as not run, with when to come back")
+TEST_CASE("a request over the limit is refused as not run, with a retry time")
 {
     TenantHost host;
     host.table.tenants[0].limit = {10, 10};
-    host.putTable();
+    host.publishTable();
     host.reduce(TenantLoadsReceived{{{tenantHash("t1"), 100, 0.1}}});
     int sent = 0;
     for (int n = 0; n < 100; ++n) {
         host.now += 10ms;
-        host.hearNews();
-        const RequestId id = host.ask("/once/x", "k1");
+        host.receiveUpdate();
+        const RequestId id = host.sendRequest("/once/x", "k1");
         if (host.find<StartAttempt>() != nullptr) {
             ++sent;
             host.end(id, 1, AttemptOutcome::Answered);
@@ -230,27 +230,27 @@
         CHECK(host.find<RefuseRequest>()->retryAfter >= 500ms);
     }
     CHECK(sent == 10);
-    host.ask("/once/x", "k2"); // no limit, and the other tenant's is none of its business
+    host.sendRequest("/once/x", "k2"); // no limit, and not affected by the other tenant's limit
     CHECK(host.find<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("a request counts once, and not at all if it has not run")
+TEST_CASE("a request counts once towards the limit, and not at all if it has not run")
 {
     TenantHost host;
     host.table.tenants[0].limit = {10, 10};
-    host.putTable();
-    const auto asked = [&] {
+    host.publishTable();
+    const auto reportedDemand = [&] {
         const std::vector<TenantDemand> demand = host.balancer.tenantDemand(host.now);
         return demand.empty() ? 0.0F : demand.front().perSecond;
     };
-    const RequestId id = host.ask("/read/x", "k1");
-    const float once = asked();
+    const RequestId id = host.sendRequest("/read/x", "k1");
+    const float once = reportedDemand();
     CHECK(once > 0);
-    host.end(id, 1, AttemptOutcome::Shed); // a second attempt begins
+    host.end(id, 1, AttemptOutcome::Shed); // the request is retried
     REQUIRE(host.find<StartAttempt>() != nullptr);
-    CHECK(asked() == once);
+    CHECK(reportedDemand() == once);
     host.end(id, 2, AttemptOutcome::NotSent);
     REQUIRE(host.refusal());
     host.now += 1s;
-    CHECK(asked() == 0);
+    CHECK(reportedDemand() == 0);
 }
