--- a/include/pepperlug/Fleet.h
+++ b/include/pepperlug/Fleet.h
@@ -23,7 +23,7 @@
 struct FleetBounds {
     Duration gracePeriod = std::chrono::seconds(6); ///< from SIGTERM to the end of the process
     Duration acknowledgeTimeout = std::chrono::seconds(4); ///< within which operators expect an answer
-    RetryTerms retries;
+    RetryBudgetSettings retries;
     QuotaTolerance quotas;
     double maxShift = 0.15;
     Duration reportInterval = Milliseconds(1500); ///< between two reports of a target
--- a/lib/Balance/Admission.cpp
+++ b/lib/Balance/Admission.cpp
@@ -1,4 +1,4 @@
-//===- Admission.cpp - Which requests are let in --------------------------===//
+//===- Admission.cpp - Admission control ----------------------------------===//
 #include "Admission.h"
 
 #include <algorithm>
@@ -9,28 +9,31 @@
 namespace
 {
 
-/// Part of the objective that a request may be predicted to use; less urgent ones leave room for urgent ones.
-constexpr double ObjectivePart = 0.9;
-constexpr double LessUrgentObjectivePart = 0.75;
-/// Fill up to which a request is let in whatever the prediction says: it gets a slot at once.
-constexpr double FreeFill = 1.0;
-constexpr double LessUrgentFreeFill = 0.9;
-/// A work time below it, in seconds, counts as this: it only keeps the division defined.
-constexpr double LeastWork = 1e-6;
+/// Shares of the objective that a request may be predicted to take. Less urgent requests leave capacity for urgent
+/// ones.
+constexpr double MaxObjectiveShare = 0.9;
+constexpr double LessUrgentMaxObjectiveShare = 0.75;
+/// Utilization up to which a request is admitted whatever the prediction: a slot is free for it.
+constexpr double FreeUtilization = 1.0;
+constexpr double LessUrgentFreeUtilization = 0.9;
+/// Lower bound of the service time in seconds; avoids a division by zero.
+constexpr double MinServiceTime = 1e-6;
 
 } // namespace
 
-// A target that does not remember the key is late in any case, but learns it; the wait is that of the mean request.
-double admissibleFill(const AdmissionQuery &query)
+// The prediction uses the service time of a warm target: a cold one answers late in any case, but caches the key's
+// data. The queue ahead consists of mean requests.
+double admissibleUtilization(const AdmissionQuery &query)
 {
-    const double freeFill = query.isUrgent ? FreeFill : LessUrgentFreeFill;
-    if (!query.work || !query.warmWork) {
-        return FreeFill;
+    const double freeUtilization = query.isUrgent ? FreeUtilization : LessUrgentFreeUtilization;
+    if (!query.serviceTime || !query.warmServiceTime) {
+        return FreeUtilization;
     }
-    const double inTime = secondsOf(query.objectiveLeft) * (query.isUrgent ? ObjectivePart : LessUrgentObjectivePart);
-    const double late = secondsOf(query.timeLeft) * query.latePart;
-    const double wait = std::max(inTime, late) - secondsOf(*query.warmWork) - secondsOf(query.way);
-    return std::max(freeFill, 1 + wait / std::max(secondsOf(*query.work), LeastWork));
+    const double inTime =
+        secondsOf(query.objectiveLeft) * (query.isUrgent ? MaxObjectiveShare : LessUrgentMaxObjectiveShare);
+    const double late = secondsOf(query.timeLeft) * query.lateDeadlineShare;
+    const double wait = std::max(inTime, late) - secondsOf(*query.warmServiceTime) - secondsOf(query.extraLatency);
+    return std::max(freeUtilization, 1 + wait / std::max(secondsOf(*query.serviceTime), MinServiceTime));
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Balance/Backpressures.cpp
+++ b/lib/Balance/Backpressures.cpp
@@ -1,4 +1,4 @@
-//===- Backpressures.cpp - What targets ask for, at an entry host ---------===//
+//===- Backpressures.cpp - Backpressure of targets at an entry host -------===//
 #include "Impl.h"
 
 namespace pepperlug::fleet
@@ -7,30 +7,30 @@
 namespace
 {
 
-/// Of the newest answer in the mean time that a service's requests take.
-constexpr double WorkWeight = 0.02;
+/// Weight of the newest answer in the mean service time.
+constexpr double ServiceTimeWeight = 0.02;
 
 } // namespace
 
-void Balancer::Impl::on(const TargetSignalled &event)
+void Balancer::Impl::handle(const TargetSignalled &event)
 {
     if (event.signal.backOff) {
-        const Duration length = m_targets.startRest(event.target, *event.signal.backOff, m_now);
-        m_out->emplace_back(RestBegun{event.target.id, std::chrono::duration_cast<Milliseconds>(length)});
+        const Duration length = m_targets.startBackoff(event.target, *event.signal.backOff, m_now);
+        m_out->emplace_back(BackoffStarted{event.target.id, std::chrono::duration_cast<Milliseconds>(length)});
     }
     const std::optional<double> before = m_backpressure.limitOf(event.target);
     if (m_backpressure.recordSignal(event.target, event.signal, event.sentAt, m_now)) {
-        tellBackpressure(event.target, true);
+        publishBackpressure(event.target, true);
     } else if (m_backpressure.limitOf(event.target) != before) {
         m_targets.setLimit(event.target, m_backpressure.limitOf(event.target));
     }
 }
 
-void Balancer::Impl::on(const BackpressureTold &event)
+void Balancer::Impl::handle(const BackpressureReceived &event)
 {
     for (const BackpressureReport &it : event.reports) {
         if (m_backpressure.merge(it, false, m_now)) {
-            tellBackpressure(it.target, false);
+            publishBackpressure(it.target, false);
         }
     }
 }
@@ -43,33 +43,33 @@
     }
 }
 
-void Balancer::Impl::tellBackpressure(const Incarnation &target, bool isOwn)
+void Balancer::Impl::publishBackpressure(const Incarnation &target, bool isLocal)
 {
     applyBackpressure(target);
     m_out->emplace_back(
-        BackpressureChanged{target.id, m_backpressure.limitOf(target), m_backpressure.isLeaving(target), isOwn});
+        BackpressureChanged{target.id, m_backpressure.limitOf(target), m_backpressure.isLeaving(target), isLocal});
 }
 
-// What a target asks for may be known before the target is.
-void Balancer::Impl::followBackpressure()
+// A target's backpressure may be known before the target itself.
+void Balancer::Impl::applyKnownBackpressure()
 {
     for (const BackpressureReport &it : m_backpressure.changedSince(0, UpdateRecipient::EntryHost, m_now)) {
         applyBackpressure(it.target);
     }
 }
 
-void Balancer::Impl::forgetLimits()
+void Balancer::Impl::expireLimits()
 {
     for (const Incarnation &it : m_backpressure.removeExpired(m_now)) {
-        tellBackpressure(it, false);
+        publishBackpressure(it, false);
     }
 }
 
-// What a limit of requests a second keeps busy of a target's slots depends on how long they take.
-void Balancer::Impl::noteWork(const OpenRequest &open, Duration took)
+// The number of slots that a rate limit can occupy depends on the service time.
+void Balancer::Impl::recordServiceTime(const OpenRequest &open, Duration took)
 {
-    const auto [mean, isNew] = m_meanWork.try_emplace(open.service, secondsOf(took));
-    mean->second += (secondsOf(took) - mean->second) * WorkWeight;
+    const auto [mean, isNew] = m_meanServiceTime.try_emplace(open.service, secondsOf(took));
+    mean->second += (secondsOf(took) - mean->second) * ServiceTimeWeight;
 }
 
 const BackpressureTable &Balancer::Impl::backpressure() const
--- a/lib/Balance/Balancer.cpp
+++ b/lib/Balance/Balancer.cpp
@@ -1,8 +1,8 @@
-//===- Balancer.cpp - Life of a request at an entry host ------------------===//
+//===- Balancer.cpp - Life cycle of a request at an entry host ------------===//
 //
-// A request that may run only once is sent to a second target only where the first is certain not to have run it. One
-// that may be repeated is also sent again after a loss, within the retry budget; and when its target has fallen silent,
-// to a second target beside the first.
+// A request that may run only once is sent to a second target only if the first has certainly not run it. A repeatable
+// request is also retried after a loss, within the retry budget; if its target is unresponsive, it is hedged: sent to a
+// second target while the first attempt continues.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -14,11 +14,11 @@
 namespace
 {
 
-/// A first attempt at a silent target is doubled after this many work times.
-constexpr int HedgeInWork = 3;
-constexpr Milliseconds LeastHedge{500};
-/// Of an answer's head and the packets around it, about.
-constexpr double HeadBytes = 600;
+/// Service times without an answer after which an attempt is hedged.
+constexpr int HedgeTimeoutFactor = 3;
+constexpr Milliseconds MinHedgeTimeout{500};
+/// Approximate size of an answer's head and the packet overhead.
+constexpr double AnswerHeadBytes = 600;
 
 } // namespace
 
@@ -72,7 +72,7 @@
         return "backpressure";
     case Refusal::LinkFull:
         return "link-full";
-    case Refusal::ShutOut:
+    case Refusal::Quarantined:
         return "shut-out";
     case Refusal::NotReached:
         return "not-reached";
@@ -95,7 +95,7 @@
     : m_settings(std::move(settings))
     , m_random(m_settings.seed)
     , m_targets(m_settings)
-    , m_quarantine(m_settings.firstTrialPause)
+    , m_quarantine(m_settings.firstProbeDelay)
     , m_quotas(m_settings.quotas, m_settings.seed)
     , m_link(m_settings.linkBytesPerSecond)
 {
@@ -106,37 +106,37 @@
 {
     m_now = std::max(m_now, now);
     m_out = &out;
-    std::visit([this](const auto &it) { on(it); }, event);
+    std::visit([this](const auto &it) { handle(it); }, event);
     m_out = nullptr;
 }
 
-void Balancer::Impl::on(const RoutesChanged &event)
+void Balancer::Impl::handle(const RoutesChanged &event)
 {
     m_table = event.table;
     m_routeIndex.emplace(m_table);
-    findUrgentPriorities();
+    updateUrgentPriorities();
     m_targets.setTable(m_table);
     m_targets.setEvacuatedZones(event.evacuatedZones, m_now);
-    m_planDue = {};
-    followPlans();
+    m_plansDueAt = {};
+    updatePlans();
 }
 
-void Balancer::Impl::on(const ReportsChanged &event)
+void Balancer::Impl::handle(const ReportsChanged &event)
 {
     m_targets.apply(event.changes, m_now);
     m_quotas.setEntryHostCount(m_targets.entryHosts());
-    m_targets.remember(event.remembered, m_now);
+    m_targets.addRestored(event.restored, m_now);
     if (!event.demand.empty()) {
         m_targets.setDemand(event.demand);
     }
-    if (event.isWhole) {
-        m_targets.doubtOthers(event.changes, m_now);
+    if (event.isSnapshot) {
+        m_targets.markOthersUnconfirmed(event.changes, m_now);
     }
-    followBackpressure();
-    followPlans();
+    applyKnownBackpressure();
+    updatePlans();
 }
 
-void Balancer::Impl::on(const CallerRequest &event)
+void Balancer::Impl::handle(const CallerRequest &event)
 {
     OpenRequest open;
     open.request = event;
@@ -150,36 +150,36 @@
         refuse(open, mayHaveMissedRoutes() ? Refusal::RoutingLate : Refusal::NoRoute);
         return;
     }
-    const Asker asker = askerOf(event, route);
-    if (!asker.isAllowed) {
+    const CallerIdentity caller = identifyCaller(event, route);
+    if (!caller.isAllowed) {
         refuse(open, mayHaveMissedRoutes() ? Refusal::RoutingLate : Refusal::UnknownKey);
         return;
     }
-    adopt(open, *route, asker);
+    assignRoute(open, *route, caller);
     if (m_isSuspended) {
         refuse(open, Refusal::RoutingLate);
         return;
     }
-    if (holdBack(open)) {
+    if (refuseOrProbe(open)) {
         return;
     }
-    const Duration work = m_stats[route->name].work().value_or(route->objective / 2);
-    m_arrivals[open.service].add(m_now, std::chrono::duration<double>(work).count());
-    m_askedBytes.add(m_now, m_stats[route->name].answerBytes() + HeadBytes);
-    m_overflow[open.service].countRequest(m_now);
+    const Duration serviceTime = m_stats[route->name].serviceTime().value_or(route->objective / 2);
+    m_arrivals[open.service].add(m_now, std::chrono::duration<double>(serviceTime).count());
+    m_requestedBytes.add(m_now, m_stats[route->name].answerBytes() + AnswerHeadBytes);
+    m_shiftAllowances[open.service].countRequest(m_now);
     m_budgets.at(open.service).countRequest(m_now);
-    open.isReturning = isReturning(open);
+    open.isCallerRetry = isCallerRetry(open);
     if (event.deadline) {
         m_stats[route->name].addDeadline(*event.deadline);
     }
     const Placement placement = place(open);
     if (placement.target == nullptr) {
-        const double excess = std::max(0.0, placement.fill - placement.admissibleFill);
-        const Duration drainTime = std::chrono::duration_cast<Duration>(work * excess);
-        refuse(open, placement.refusal, std::max(drainTime, placement.untilRoom));
+        const double excess = std::max(0.0, placement.utilization - placement.admissibleUtilization);
+        const Duration drainTime = std::chrono::duration_cast<Duration>(serviceTime * excess);
+        refuse(open, placement.refusal, std::max(drainTime, placement.untilCapacity));
         return;
     }
-    if (!isWithinQuota(open)) {
+    if (!chargeQuota(open)) {
         refuse(open, Refusal::OverQuota);
         return;
     }
@@ -191,16 +191,16 @@
 {
     TargetState &target = *placement.target;
     m_targets.attemptStarted(target, m_now);
-    const unsigned number = ++open.started;
-    const double bytes = m_stats[open.route.name].answerBytes() + HeadBytes;
+    const unsigned number = ++open.attemptsStarted;
+    const double bytes = m_stats[open.route.name].answerBytes() + AnswerHeadBytes;
     m_link.take(bytes, m_now);
     open.attempts[number] = {{target.report.id, target.report.startedAt},
                              target.report.address,
                              m_now,
-                             placement.fill,
+                             placement.utilization,
                              bytes,
                              target.limit.has_value()};
-    open.tried.insert(target.report.id);
+    open.triedTargets.insert(target.report.id);
     open.lastTarget = target.report.id;
     StartAttempt effect;
     effect.id = open.request.id;
@@ -211,32 +211,32 @@
     effect.zone = target.report.zone;
     effect.service = open.service;
     effect.tableVersion = open.tableVersion;
-    effect.hasHomes = !open.route.homeRegions.empty();
+    effect.hasHomeRegions = !open.route.homeRegions.empty();
     effect.hasTenants = !m_table->tenants.empty();
     effect.tenant = open.tenant;
-    effect.timeLeft = open.until - m_now;
-    effect.fill = placement.fill;
+    effect.timeLeft = open.deadline - m_now;
+    effect.utilization = placement.utilization;
     effect.loadAge = target.load ? std::chrono::duration_cast<Milliseconds>(m_now - target.loadAt) : Milliseconds(-1);
     m_out->emplace_back(std::move(effect));
 }
 
-// The later a caller comes back the less of its time is left; a little chance keeps callers apart.
+// The later a caller retries the less time it has left, so the advice is short; a random part spreads the callers.
 Milliseconds Balancer::Impl::retryAfter(const OpenRequest &open, Refusal reason, Duration drainTime)
 {
     if (reason == Refusal::LinkFull) {
-        return ElsewhereRetryAfter;
+        return OtherHostRetryAfter;
     }
-    if (reason == Refusal::ShutOut) {
-        return timeToTrial(open);
+    if (reason == Refusal::Quarantined) {
+        return timeUntilProbe(open);
     }
     if (open.route.name.empty()) {
-        return StartRetryAfter;
+        return NoRoutingRetryAfter;
     }
-    const Milliseconds least = leastRetryAfter(open.route);
+    const Milliseconds least = minRetryAfterFor(open.route);
     const Milliseconds drain = std::chrono::duration_cast<Milliseconds>(drainTime);
-    Milliseconds base = m_settings.policy.advisesByQueue ? std::clamp(drain, least, LongestRetryAfter) : least;
+    Milliseconds base = m_settings.policy.derivesRetryAfterFromQueue ? std::clamp(drain, least, MaxRetryAfter) : least;
     if (reason == Refusal::Backpressure) {
-        base = std::clamp(drain, least, LongestBackpressureAdvice);
+        base = std::clamp(drain, least, MaxBackpressureRetryAfter);
     }
     if (reason == Refusal::OverQuota) {
         base = m_quotas.retryAfter(open.tenant);
@@ -256,14 +256,14 @@
     if (mayComeBack) {
         effect.retryAfter = retryAfter(open, reason, drainTime);
     }
-    giveQuotaBack(open, reason);
+    refundQuota(open, reason);
     m_out->emplace_back(std::move(effect));
 }
 
-// What was passed on can't be taken back, so its caller has to see that it is not whole.
-void Balancer::Impl::giveUp(OpenRequest &open, Refusal reason)
+// What was sent to the caller can't be taken back, so the caller must see that the answer is incomplete.
+void Balancer::Impl::failRequest(OpenRequest &open, Refusal reason)
 {
-    if (open.hasBegun) {
+    if (open.hasAnswerBegun) {
         m_out->emplace_back(AbortAnswer{open.request.id, reason});
     } else {
         refuse(open, reason);
@@ -279,7 +279,7 @@
     open.attempts.clear();
 }
 
-void Balancer::Impl::on(const CallerLeft &event)
+void Balancer::Impl::handle(const CallerLeft &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
     if (it == m_open.end()) {
@@ -289,14 +289,14 @@
     m_open.erase(it);
 }
 
-// Each retry that may arrive at a target is taken from the budget that all entry hosts share.
-bool Balancer::Impl::maySendAgain(const OpenRequest &open, AttemptOutcome outcome)
+// Each retry after an attempt that may have reached its target is taken from the budget that all entry hosts share.
+bool Balancer::Impl::mayRetry(const OpenRequest &open, AttemptOutcome outcome)
 {
-    if (open.hasBegun || !maySpread(open, outcome)) {
+    if (open.hasAnswerBegun || !mayUseAnotherTarget(open, outcome)) {
         return false;
     }
     const bool isSafe = open.route.kind == RouteKind::Repeatable || (isCertainlyNotRun(outcome) && !open.mayHaveRun);
-    if (!isSafe || open.started >= open.route.attempts || m_now >= open.until) {
+    if (!isSafe || open.attemptsStarted >= open.route.attempts || m_now >= open.deadline) {
         return false;
     }
     if (outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::Withdrawn) {
@@ -305,21 +305,21 @@
     return m_budgets.at(open.service).take(m_now, m_targets.entryHosts());
 }
 
-void Balancer::Impl::on(const AnswerBegun &event)
+void Balancer::Impl::handle(const AnswerBegun &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
-    if (it == m_open.end() || it->second.hasBegun || !it->second.attempts.contains(event.attempt)) {
+    if (it == m_open.end() || it->second.hasAnswerBegun || !it->second.attempts.contains(event.attempt)) {
         return;
     }
     OpenRequest &open = it->second;
-    open.hasBegun = true;
+    open.hasAnswerBegun = true;
     m_out->emplace_back(PassHead{event.id, event.attempt});
     auto kept = open.attempts.extract(event.attempt);
     cancelAttempts(open);
     open.attempts.insert(std::move(kept));
 }
 
-void Balancer::Impl::on(const AttemptEnded &event)
+void Balancer::Impl::handle(const AttemptEnded &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
     if (it == m_open.end()) {
@@ -333,35 +333,36 @@
     const Attempt attempt = ended->second;
     open.attempts.erase(ended);
     m_targets.attemptEnded(attempt.target, event.outcome, event.load, m_now);
-    if (attempt.isPaced && (event.outcome == AttemptOutcome::NotSent || event.outcome == AttemptOutcome::Withdrawn)) {
-        m_targets.giveLimitBack(attempt.target);
+    if (attempt.usesLimitShare
+        && (event.outcome == AttemptOutcome::NotSent || event.outcome == AttemptOutcome::Withdrawn)) {
+        m_targets.refundLimit(attempt.target);
     }
     if (isCertainlyNotRun(event.outcome)) {
         m_link.take(-attempt.expectedBytes, m_now);
     }
     if (event.outcome == AttemptOutcome::Answered) {
-        m_link.take(static_cast<double>(event.answerBytes) + HeadBytes - attempt.expectedBytes, m_now);
+        m_link.take(static_cast<double>(event.answerBytes) + AnswerHeadBytes - attempt.expectedBytes, m_now);
         m_stats[open.route.name].addAnswerBytes(event.answerBytes);
-        m_stats[open.route.name].add(m_now - attempt.startedAt, attempt.fill);
-        noteWork(open, m_now - attempt.startedAt);
+        m_stats[open.route.name].addServiceTime(m_now - attempt.startedAt, attempt.utilization);
+        recordServiceTime(open, m_now - attempt.startedAt);
         m_out->emplace_back(PassAnswer{open.request.id, event.attempt});
         if (!event.isFailure) {
-            excuse(open);
+            clearSuspicion(open);
         }
         cancelAttempts(open);
         m_open.erase(it);
         return;
     }
     if (event.outcome == AttemptOutcome::Lost && event.isConnectionLost) {
-        suspect(open, attempt);
+        checkForCrash(open, attempt);
     }
     open.mayHaveRun |=
-        open.hasBegun || event.outcome == AttemptOutcome::Lost || event.outcome == AttemptOutcome::TimedOut;
+        open.hasAnswerBegun || event.outcome == AttemptOutcome::Lost || event.outcome == AttemptOutcome::TimedOut;
     if (!open.attempts.empty()) {
-        return; // another attempt is on its way
+        return; // another attempt is in progress
     }
-    const bool hasRoute = followRoutes(open);
-    if (hasRoute && maySendAgain(open, event.outcome)) {
+    const bool hasRoute = refreshRoute(open);
+    if (hasRoute && mayRetry(open, event.outcome)) {
         const Placement placement = place(open);
         if (placement.target != nullptr) {
             startAttempt(open, placement);
@@ -369,55 +370,56 @@
         }
     }
     Refusal reason = event.outcome == AttemptOutcome::Shed ? Refusal::Overloaded : Refusal::NotReached;
-    if (isShutOut(open)) {
-        reason = Refusal::ShutOut;
+    if (isQuarantined(open)) {
+        reason = Refusal::Quarantined;
     }
     if (!hasRoute) {
         reason = m_isSuspended ? Refusal::RoutingLate : Refusal::RouteChanged;
     }
     if (open.mayHaveRun) {
-        reason = event.outcome == AttemptOutcome::TimedOut || m_now >= open.until ? Refusal::TimedOut : Refusal::Lost;
+        reason =
+            event.outcome == AttemptOutcome::TimedOut || m_now >= open.deadline ? Refusal::TimedOut : Refusal::Lost;
     }
-    giveUp(open, reason);
+    failRequest(open, reason);
     m_open.erase(it);
 }
 
-void Balancer::Impl::endOverdue()
+void Balancer::Impl::endExpired()
 {
     for (auto it = m_open.begin(); it != m_open.end();) {
         OpenRequest &open = it->second;
-        if (m_now < open.until) {
+        if (m_now < open.deadline) {
             ++it;
             continue;
         }
         cancelAttempts(open);
-        giveUp(open, open.awaitsTrial ? Refusal::ShutOut : Refusal::TimedOut);
+        failRequest(open, open.awaitsProbe ? Refusal::Quarantined : Refusal::TimedOut);
         it = m_open.erase(it);
     }
 }
 
 bool Balancer::Impl::mayHedge(const OpenRequest &open) const
 {
-    return open.attempts.size() == 1 && maySpread(open, AttemptOutcome::TimedOut) && !open.hasBegun
-        && open.route.kind == RouteKind::Repeatable && open.started < open.route.attempts;
+    return open.attempts.size() == 1 && mayUseAnotherTarget(open, AttemptOutcome::TimedOut) && !open.hasAnswerBegun
+        && open.route.kind == RouteKind::Repeatable && open.attemptsStarted < open.route.attempts;
 }
 
-bool Balancer::Impl::isSilent(const Attempt &attempt, const Route &route)
+bool Balancer::Impl::isTargetUnresponsive(const Attempt &attempt, const Route &route)
 {
-    const Duration work = m_stats[route.name].work().value_or(route.objective);
-    const Duration patience = std::max<Duration>(LeastHedge, work * HedgeInWork);
+    const Duration serviceTime = m_stats[route.name].serviceTime().value_or(route.objective);
+    const Duration hedgeTimeout = std::max<Duration>(MinHedgeTimeout, serviceTime * HedgeTimeoutFactor);
     const TargetState *target = m_targets.find(attempt.target);
-    const bool isSuspect = target == nullptr || target->isSuspect(m_now, patience);
-    return isSuspect && m_now - attempt.startedAt >= patience;
+    const bool isUnresponsive = target == nullptr || target->isUnresponsive(m_now, hedgeTimeout);
+    return isUnresponsive && m_now - attempt.startedAt >= hedgeTimeout;
 }
 
-void Balancer::Impl::hedgeSilent()
+void Balancer::Impl::hedgeUnresponsive()
 {
     for (auto &[id, open] : m_open) {
-        if (!mayHedge(open) || !isSilent(open.attempts.begin()->second, open.route)) {
+        if (!mayHedge(open) || !isTargetUnresponsive(open.attempts.begin()->second, open.route)) {
             continue;
         }
-        if (!followRoutes(open) || !mayHedge(open)) {
+        if (!refreshRoute(open) || !mayHedge(open)) {
             continue;
         }
         const Placement placement = place(open);
@@ -428,17 +430,17 @@
     }
 }
 
-void Balancer::Impl::on(const BalanceTick &)
+void Balancer::Impl::handle(const BalanceTick &)
 {
-    suspendIfLate();
-    endOverdue();
-    hedgeSilent();
-    followPlans();
+    updateSuspension();
+    endExpired();
+    hedgeUnresponsive();
+    updatePlans();
     m_quarantine.removeExpired(m_now);
-    forgetLimits();
+    expireLimits();
 }
 
-std::size_t Balancer::Impl::open() const
+std::size_t Balancer::Impl::openRequests() const
 {
     return m_open.size();
 }
@@ -455,7 +457,7 @@
 double Balancer::Impl::linkUse(TimePoint now) const
 {
     const auto link = static_cast<double>(m_settings.linkBytesPerSecond);
-    return link > 0 ? m_askedBytes.perSecond(now) / link : 0;
+    return link > 0 ? m_requestedBytes.perSecond(now) / link : 0;
 }
 
 std::uint64_t Balancer::Impl::tableVersion() const
@@ -485,9 +487,9 @@
     m_impl->reduce(event, now, out);
 }
 
-std::size_t Balancer::open() const
+std::size_t Balancer::openRequests() const
 {
-    return m_impl->open();
+    return m_impl->openRequests();
 }
 
 std::vector<ServiceDemand> Balancer::demand(TimePoint now) const
--- a/lib/Balance/Placement.cpp
+++ b/lib/Balance/Placement.cpp
@@ -1,7 +1,7 @@
 //===- Placement.cpp - Service, region and target of a request ------------===//
 //
-// A request is admitted where it can still be answered within its objective, or where a slot is free. Everything else
-// is refused at once: the caller may come back, and a queue of requests that will be late serves nobody.
+// A request is admitted if it can still be answered within its objective, or if a slot is free. Everything else is
+// refused at once: the caller may retry, and a queue of requests that will be late serves nobody.
 //
 //===----------------------------------------------------------------------===//
 #include "Admission.h"
@@ -14,15 +14,15 @@
 namespace
 {
 
-/// Time to a target of another region and back, where nothing better is known.
-constexpr Milliseconds AbroadTime{60};
-/// Part of the shift bound that requests may use besides the plan.
-constexpr double OverflowPart = 0.2;
-/// Silence of a target, in work times, after which it is doubted.
-constexpr int PatienceInWork = 3;
-constexpr Milliseconds LeastPatience{600};
+/// Assumed round trip to a target in another region.
+constexpr Milliseconds OtherRegionLatency{60};
+/// Share of maxShift for requests that leave their region outside the plan.
+constexpr double UnplannedShiftShare = 0.2;
+/// Service times without an answer after which a target counts as unresponsive.
+constexpr int ResponseTimeoutFactor = 3;
+constexpr Milliseconds MinResponseTimeout{600};
 constexpr Milliseconds PlanInterval{200};
-constexpr unsigned LeastUrgent = std::numeric_limits<unsigned>::max();
+constexpr unsigned LowestPriority = std::numeric_limits<unsigned>::max();
 
 } // namespace
 
@@ -31,17 +31,18 @@
     if (route.services.size() == 1) {
         return route.services.front().service;
     }
-    // Each part is owed its weight with every request; the one that is owed most gets it.
-    std::vector<double> &owed = m_turns[route.name];
-    owed.resize(route.services.size());
+    // Smooth weighted round-robin: each request adds the weights to the credits, and the service with the highest
+    // credit serves it and pays the sum of the weights.
+    std::vector<double> &credits = m_serviceCredits[route.name];
+    credits.resize(route.services.size());
     double sum = 0;
     std::size_t best = 0;
     for (std::size_t n = 0; n < route.services.size(); ++n) {
-        owed[n] += route.services[n].weight;
+        credits[n] += route.services[n].weight;
         sum += route.services[n].weight;
-        best = owed[n] > owed[best] ? n : best;
+        best = credits[n] > credits[best] ? n : best;
     }
-    owed[best] -= sum;
+    credits[best] -= sum;
     return route.services[best].service;
 }
 
@@ -51,55 +52,57 @@
     if (!open.route.homeRegions.empty() || plan == m_plans.end()) {
         return m_region;
     }
-    // All requests of a key go to one region, so that no target of another has to learn it.
+    // All requests of a key go to one region, so that no target in another region has to cache its data.
     const std::uint64_t key = open.affinity != 0 ? open.affinity : m_random();
     const RegionPlan &shares = plan->second;
     const std::string region =
-        m_settings.policy.hasSteadyRegions ? shares.pickFor(key) : shares.pick(unitInterval(key));
+        m_settings.policy.hashesRegions ? shares.regionForKey(key) : shares.regionAt(unitInterval(key));
     return region.empty() ? m_region : region;
 }
 
-Balancer::Impl::Placement Balancer::Impl::placeIn(const OpenRequest &open, const std::string &region, bool keepsKey)
+Balancer::Impl::Placement Balancer::Impl::placeInRegion(const OpenRequest &open, const std::string &region,
+                                                        bool keepsKey)
 {
     TargetQuery query;
     query.service = open.service;
     query.affinity = keepsKey ? open.affinity : 0;
-    query.excluded = open.tried;
+    query.excluded = open.triedTargets;
     query.homeRegions = &open.route.homeRegions;
     query.region = region;
-    const Duration work = m_stats[open.route.name].work().value_or(open.route.objective);
-    query.patience = std::max<Duration>(LeastPatience, work * PatienceInWork);
-    query.admissibleFill = admissibleFill(open, !region.empty() && region != m_region);
+    const Duration serviceTime = m_stats[open.route.name].serviceTime().value_or(open.route.objective);
+    query.responseTimeout = std::max<Duration>(MinResponseTimeout, serviceTime * ResponseTimeoutFactor);
+    query.admissibleUtilization = admissibleUtilization(open, !region.empty() && region != m_region);
     Placement placement;
-    placement.admissibleFill = query.admissibleFill;
+    placement.admissibleUtilization = query.admissibleUtilization;
     query.isUrgent = isMostUrgent(open.route);
     const TargetChoice choice = m_targets.choose(query, m_now);
     placement.target = choice.target;
     if (placement.target == nullptr) {
-        placement.refusal = choice.untilRoom ? Refusal::Backpressure : Refusal::NoTarget;
-        placement.untilRoom = choice.untilRoom.value_or(Duration(0));
+        placement.refusal = choice.untilCapacity ? Refusal::Backpressure : Refusal::NoTarget;
+        placement.untilCapacity = choice.untilCapacity.value_or(Duration(0));
         return placement;
     }
-    placement.fill = (placement.target->believedRequests(m_now) + 1) / placement.target->slots();
+    placement.utilization = (placement.target->estimatedRequests(m_now) + 1) / placement.target->slots();
     return placement;
 }
 
-// Asked with every request, and a table may have hundreds of routes. A tenant's priority goes before that of a route.
-void Balancer::Impl::findUrgentPriorities()
+// Computed in advance, since every request needs it and a table may have hundreds of routes. A tenant's priority
+// overrides that of a route.
+void Balancer::Impl::updateUrgentPriorities()
 {
     m_urgentPriority.clear();
-    std::optional<unsigned> ofTenants;
-    bool isRouteAsked = m_table->tenants.empty();
+    std::optional<unsigned> tenantPriority;
+    bool usesRoutePriority = m_table->tenants.empty();
     for (const Tenant &tenant : m_table->tenants) {
-        isRouteAsked |= !tenant.priority;
-        ofTenants = std::min(ofTenants.value_or(LeastUrgent), tenant.priority.value_or(LeastUrgent));
+        usesRoutePriority |= !tenant.priority;
+        tenantPriority = std::min(tenantPriority.value_or(LowestPriority), tenant.priority.value_or(LowestPriority));
     }
     for (const Route &route : m_table->routes) {
-        const unsigned own = isRouteAsked || route.isPublic ? route.priority : LeastUrgent;
-        const unsigned priority = std::min(own, ofTenants.value_or(LeastUrgent));
+        const unsigned own = usesRoutePriority || route.isPublic ? route.priority : LowestPriority;
+        const unsigned priority = std::min(own, tenantPriority.value_or(LowestPriority));
         for (const WeightedService &it : route.services) {
-            const auto [place, isNew] = m_urgentPriority.try_emplace(it.service, priority);
-            place->second = std::min(place->second, priority);
+            const auto [entry, isNew] = m_urgentPriority.try_emplace(it.service, priority);
+            entry->second = std::min(entry->second, priority);
         }
     }
 }
@@ -110,34 +113,34 @@
     return it == m_urgentPriority.end() || route.priority <= it->second;
 }
 
-double Balancer::Impl::admissibleFill(const OpenRequest &open, bool isAbroad) const
+double Balancer::Impl::admissibleUtilization(const OpenRequest &open, bool isInOtherRegion) const
 {
     AdmissionQuery query;
     const auto stats = m_stats.find(open.route.name);
     if (stats != m_stats.end()) {
-        query.work = stats->second.work();
-        query.warmWork = stats->second.warmWork();
+        query.serviceTime = stats->second.serviceTime();
+        query.warmServiceTime = stats->second.warmServiceTime();
     }
     query.objectiveLeft = open.route.objective - (m_now - open.arrivedAt);
-    query.timeLeft = open.until - m_now;
-    query.way = isAbroad ? AbroadTime : Milliseconds(0);
+    query.timeLeft = open.deadline - m_now;
+    query.extraLatency = isInOtherRegion ? OtherRegionLatency : Milliseconds(0);
     query.isUrgent = isMostUrgent(open.route);
-    query.latePart = open.isReturning ? m_settings.policy.latePart : 0;
-    return pepperlug::fleet::admissibleFill(query);
+    query.lateDeadlineShare = open.isCallerRetry ? m_settings.policy.lateDeadlineShare : 0;
+    return pepperlug::fleet::admissibleUtilization(query);
 }
 
-// A caller that was refused has less time left than those that come for the first time. One that did not wait as it
-// was told gets no precedence.
-bool Balancer::Impl::isReturning(const OpenRequest &open)
+// A caller that was refused before has less time left than at its first try. One that did not wait as advised
+// gets no precedence.
+bool Balancer::Impl::isCallerRetry(const OpenRequest &open)
 {
-    if (m_settings.policy.latePart <= 0 || !open.request.deadline) {
+    if (m_settings.policy.lateDeadlineShare <= 0 || !open.request.deadline) {
         return false;
     }
-    const std::optional<Duration> whole = m_stats[open.route.name].wholeDeadline();
-    return whole && *whole - *open.request.deadline >= leastRetryAfter(open.route);
+    const std::optional<Duration> usual = m_stats[open.route.name].firstTryDeadline();
+    return usual && *usual - *open.request.deadline >= minRetryAfterFor(open.route);
 }
 
-// Small answers are never held back: they are what the bound on large ones leaves room for.
+// Small answers are never held back: the bound on large answers leaves capacity for them.
 bool Balancer::Impl::fitsLink(const OpenRequest &open)
 {
     const auto stats = m_stats.find(open.route.name);
@@ -147,58 +150,61 @@
 
 Balancer::Impl::Placement Balancer::Impl::place(const OpenRequest &open)
 {
-    if (open.hasNoHome) {
+    if (open.hasNoRegion) {
         return {nullptr, 0, Refusal::NoTarget};
     }
     if (!fitsLink(open)) {
         return {nullptr, 0, Refusal::LinkFull};
     }
     const std::string region = pickRegion(open);
-    const Placement planned = placeIn(open, region);
-    if (planned.target != nullptr && planned.fill <= planned.admissibleFill) {
+    const Placement planned = placeInRegion(open, region);
+    if (planned.target != nullptr && planned.utilization <= planned.admissibleUtilization) {
         return planned;
     }
     const bool hasTarget = planned.target != nullptr;
-    const bool regionIsDead = !hasTarget && planned.refusal == Refusal::NoTarget;
-    const Placement noRoom =
-        hasTarget ? Placement{nullptr, planned.fill, Refusal::Overloaded, planned.admissibleFill} : planned;
-    if (hasTarget && open.affinity != 0 && !open.isReturning) {
-        return noRoom;
-    }
-    // A returning caller is served by whoever has room, at the price of a target that has to learn its key.
-    Placement other = placeIn(open, {}, !hasTarget);
+    const bool regionHasNoTarget = !hasTarget && planned.refusal == Refusal::NoTarget;
+    const Placement rejected = hasTarget
+        ? Placement{nullptr, planned.utilization, Refusal::Overloaded, planned.admissibleUtilization}
+        : planned;
+    if (hasTarget && open.affinity != 0 && !open.isCallerRetry) {
+        return rejected;
+    }
+    // A returning caller may use any target with free capacity, although that target has to load the key's data.
+    Placement other = placeInRegion(open, {}, !hasTarget);
     if (other.target == nullptr) {
-        return regionIsDead ? other : noRoom;
+        return regionHasNoTarget ? other : rejected;
     }
-    const bool isAbroad = other.target->region != m_region;
-    if (other.fill > admissibleFill(open, isAbroad)) {
-        return {nullptr, other.fill, Refusal::Overloaded, other.admissibleFill};
+    const bool isInOtherRegion = other.target->region != m_region;
+    if (other.utilization > admissibleUtilization(open, isInOtherRegion)) {
+        return {nullptr, other.utilization, Refusal::Overloaded, other.admissibleUtilization};
     }
-    const bool mayMove = regionIsDead || !isAbroad
-        || m_overflow[open.service].take(m_now, m_settings.shiftWindow, m_settings.maxShift * OverflowPart);
-    return mayMove ? other : noRoom;
+    const bool mayMove = regionHasNoTarget || !isInOtherRegion
+        || m_shiftAllowances[open.service].take(m_now, m_settings.shiftWindow,
+                                                m_settings.maxShift * UnplannedShiftShare);
+    return mayMove ? other : rejected;
 }
 
-void Balancer::Impl::followPlans()
+void Balancer::Impl::updatePlans()
 {
-    if (m_now < m_planDue || !m_table) {
+    if (m_now < m_plansDueAt || !m_table) {
         return;
     }
-    m_planDue = m_now + PlanInterval;
-    // Two windows lie between the states that are compared, and chance moves some requests too.
+    m_plansDueAt = m_now + PlanInterval;
+    // Half of the bound: the states that it compares lie two windows apart, and random choices move some requests too.
     const double window = std::chrono::duration<double>(m_settings.shiftWindow).count();
     const double step = m_settings.maxShift / window / 2;
     for (const ServiceTraits &service : m_table->services) {
-        const auto work = m_meanWork.find(service.name);
+        const auto serviceTime = m_meanServiceTime.find(service.name);
         const std::map<std::string, double> capacity = m_targets.capacity(
-            service.name, work == m_meanWork.end() ? std::nullopt : std::optional(work->second), m_now);
+            service.name, serviceTime == m_meanServiceTime.end() ? std::nullopt : std::optional(serviceTime->second),
+            m_now);
         std::map<std::string, double> demand = m_targets.demand(service.name);
         double sum = 0;
         for (const auto &[region, slots] : demand) {
             sum += slots;
         }
         if (sum < 1) {
-            // Nothing is known of the demand yet: regions are taken to be alike.
+            // No demand is known yet: all regions are assumed to have the same.
             double total = 0;
             for (const auto &[region, slots] : capacity) {
                 total += slots;
@@ -213,7 +219,7 @@
             }
         }
         const auto [plan, isNew] = m_plans.try_emplace(service.name, step);
-        plan->second.follow(plannedShares(m_region, capacity, demand), capacity, m_now);
+        plan->second.moveTowards(plannedShares(m_region, capacity, demand), capacity, m_now);
     }
 }
 
--- a/lib/Balance/Quotas.cpp
+++ b/lib/Balance/Quotas.cpp
@@ -1,7 +1,7 @@
-//===- Quotas.cpp - Limits of tenants, at an entry host -------------------===//
+//===- Quotas.cpp - Rate limits of tenants at an entry host ---------------===//
 //
-// A request counts once, when it is about to be sent for the first time: what is refused for another reason uses up
-// nothing, and a second attempt or one beside the first is the same request.
+// A request counts towards its tenant's limit once, before its first attempt. Requests that are refused for another
+// reason do not count, and neither do retries and hedged attempts.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -9,23 +9,23 @@
 namespace pepperlug::fleet
 {
 
-void Balancer::Impl::on(const TenantLoadsTold &event)
+void Balancer::Impl::handle(const TenantLoadsReceived &event)
 {
     m_quotas.updateLoads(event.loads);
 }
 
-bool Balancer::Impl::isWithinQuota(OpenRequest &open)
+bool Balancer::Impl::chargeQuota(OpenRequest &open)
 {
-    if (open.limit.perSecond <= 0 || open.isCharged) {
+    if (open.limit.perSecond <= 0 || open.isCountedInQuota) {
         return true;
     }
-    open.isCharged = m_quotas.admit(open.tenant, open.limit, m_now);
-    return open.isCharged;
+    open.isCountedInQuota = m_quotas.admit(open.tenant, open.limit, m_now);
+    return open.isCountedInQuota;
 }
 
-void Balancer::Impl::giveQuotaBack(const OpenRequest &open, Refusal reason)
+void Balancer::Impl::refundQuota(const OpenRequest &open, Refusal reason)
 {
-    if (open.isCharged && promisesNotRun(reason)) {
+    if (open.isCountedInQuota && promisesNotRun(reason)) {
         m_quotas.refund(open.tenant, m_now);
     }
 }
--- a/lib/Balance/RegionPlan.cpp
+++ b/lib/Balance/RegionPlan.cpp
@@ -1,4 +1,4 @@
-//===- RegionPlan.cpp - Spill between regions -----------------------------===//
+//===- RegionPlan.cpp - Traffic shares of regions -------------------------===//
 #include "RegionPlan.h"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 namespace
 {
 
-/// Part of a region's slots up to which it serves its own callers before it sends any away.
-constexpr double FullRegion = 0.6;
-/// Below this a region is treated as having no room.
-constexpr double LeastRoom = 0.5;
+/// Utilization up to which a region serves all of its own callers.
+constexpr double FullUtilization = 0.6;
+/// Spare slots below which a region counts as full.
+constexpr double MinSpareSlots = 0.5;
 
 double valueOr0(const std::map<std::string, double> &values, const std::string &key)
 {
@@ -53,23 +53,23 @@
         return {};
     }
     const double wanted = valueOr0(demand, region);
-    // All regions are filled to the same level when there is more demand than room.
-    const double level = std::max(FullRegion, totalDemand / totalCapacity);
+    // All regions get the same utilization when the total demand exceeds FullUtilization.
+    const double level = std::max(FullUtilization, totalDemand / totalCapacity);
     const double kept = wanted <= 0 ? 1.0 : std::min(1.0, own * level / wanted);
     RegionShares shares;
     shares[region] = kept;
-    RegionShares room;
+    RegionShares spare;
     for (const auto &[name, slots] : capacity) {
         const double free = slots * level - valueOr0(demand, name);
-        if (name != region && free > LeastRoom) {
-            room[name] = free;
+        if (name != region && free > MinSpareSlots) {
+            spare[name] = free;
         }
     }
-    room = normalized(room);
-    if (room.empty()) {
+    spare = normalized(spare);
+    if (spare.empty()) {
         return {{region, 1.0}};
     }
-    for (const auto &[name, part] : room) {
+    for (const auto &[name, part] : spare) {
         shares[name] = (1 - kept) * part;
     }
     if (own <= 0) {
@@ -83,16 +83,16 @@
 {
 }
 
-void RegionPlan::follow(const RegionShares &planned, const std::map<std::string, double> &capacity, TimePoint now)
+void RegionPlan::moveTowards(const RegionShares &planned, const std::map<std::string, double> &capacity, TimePoint now)
 {
     if (planned.empty()) {
         return;
     }
-    // The first plan is taken whole, and a region without any target is left at once.
-    const bool leavesDead = std::any_of(m_shares.begin(), m_shares.end(), [&](const auto &it) {
+    // The first plan is adopted as a whole, and traffic leaves a region without targets at once.
+    const bool leavesEmptyRegion = std::any_of(m_shares.begin(), m_shares.end(), [&](const auto &it) {
         return it.second > 0 && valueOr0(capacity, it.first) <= 0;
     });
-    if (m_shares.empty() || leavesDead) {
+    if (m_shares.empty() || leavesEmptyRegion) {
         m_shares = planned;
         m_movedAt = now;
         return;
@@ -117,7 +117,7 @@
     m_shares = next;
 }
 
-std::string RegionPlan::pick(double point) const
+std::string RegionPlan::regionAt(double point) const
 {
     for (const auto &[region, share] : m_shares) {
         if (point < share) {
@@ -128,7 +128,7 @@
     return m_shares.empty() ? std::string() : m_shares.rbegin()->first;
 }
 
-std::string RegionPlan::pickFor(std::uint64_t key) const
+std::string RegionPlan::regionForKey(std::uint64_t key) const
 {
     std::string best;
     double bestRank = -1;
--- a/lib/Balance/RetryBudget.h
+++ b/lib/Balance/RetryBudget.h
@@ -1,4 +1,4 @@
-//===- RetryBudget.h - How often a request may be sent again ----*- C++ -*-===//
+//===- RetryBudget.h - Limit of retries -------------------------*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Balance.h"
@@ -6,13 +6,13 @@
 namespace pepperlug::fleet
 {
 
-/// Counts one service's requests and retries at one host over a sliding window. The slack of all hosts is divided by
-/// their number; hosts that restart begin with nothing counted, so only a part of it is ever used.
+/// Retry budget of one service at one host over a sliding window. The slack is divided by the number of hosts. A host
+/// that restarts begins with empty counters, so only a share of the budget is used.
 class RetryBudget
 {
 public:
-    explicit RetryBudget(const RetryTerms &terms)
-        : m_terms(terms)
+    explicit RetryBudget(const RetryBudgetSettings &settings)
+        : m_settings(settings)
     {
     }
 
@@ -22,12 +22,12 @@
         drop(now);
     }
 
-    /// Takes one retry if the budget has one.
+    /// Takes one retry from the budget. Returns false if none is left.
     bool take(TimePoint now, std::size_t hosts)
     {
         drop(now);
-        const double slack = m_terms.slack * SlackPart / static_cast<double>(std::max<std::size_t>(1, hosts));
-        const double allowed = m_terms.ratio * RatioPart * static_cast<double>(m_requests.size()) + slack;
+        const double slack = m_settings.slack * SlackShare / static_cast<double>(std::max<std::size_t>(1, hosts));
+        const double allowed = m_settings.ratio * RatioShare * static_cast<double>(m_requests.size()) + slack;
         if (static_cast<double>(m_retries.size()) + 1 > allowed) {
             return false;
         }
@@ -36,19 +36,19 @@
     }
 
 private:
-    static constexpr double SlackPart = 0.4;
-    static constexpr double RatioPart = 0.7;
+    static constexpr double SlackShare = 0.4;
+    static constexpr double RatioShare = 0.7;
 
     void drop(TimePoint now)
     {
         for (std::deque<TimePoint> *times : {&m_requests, &m_retries}) {
-            while (!times->empty() && now - times->front() > m_terms.window) {
+            while (!times->empty() && now - times->front() > m_settings.window) {
                 times->pop_front();
             }
         }
     }
 
-    RetryTerms m_terms;
+    RetryBudgetSettings m_settings;
     std::deque<TimePoint> m_requests;
     std::deque<TimePoint> m_retries;
 };
--- a/lib/Balance/Suspicion.cpp
+++ b/lib/Balance/Suspicion.cpp
@@ -1,9 +1,9 @@
-//===- Suspicion.cpp - Requests that end the targets which run them -------===//
+//===- Suspicion.cpp - Requests that crash their targets ------------------===//
 //
-// A connection that ends under a request may have ended for many reasons: an answer that was lost, a reset, a kept
-// connection that was closed just then. Only where nothing listens at the target's address right afterwards has the
-// target itself ended, and every request that this host had there is noted. What follows from that is the same at all
-// hosts, which are told at once.
+// A connection can end during a request for many reasons: the answer was lost, the connection was reset, or a
+// keep-alive connection was closed at that moment. The target counts as crashed only if nothing listens at its address
+// right afterwards; then every request whose connection ended there is recorded. The consequences are the same at all
+// hosts, which receive the record at once.
 //
 //===----------------------------------------------------------------------===//
 #include "Impl.h"
@@ -16,73 +16,74 @@
 namespace
 {
 
-/// Bounds of what a caller is told to wait whose request is shut out. Sooner nothing can have changed; later than the
-/// first trial nobody knows.
-constexpr Milliseconds ShortestShutOutAdvice{1000};
-constexpr Milliseconds LongestShutOutAdvice = FirstProbeDelay;
+/// Bounds of the time that the caller of a quarantined request is told to wait. Nothing can have changed sooner, and
+/// what happens after the first probe is not known.
+constexpr Milliseconds MinQuarantineRetryAfter{1000};
+constexpr Milliseconds MaxQuarantineRetryAfter = FirstProbeDelay;
 
 } // namespace
 
-void Balancer::Impl::suspect(const OpenRequest &open, const Attempt &attempt)
+void Balancer::Impl::checkForCrash(const OpenRequest &open, const Attempt &attempt)
 {
     if (open.request.digest.empty()) {
         return;
     }
-    const auto [it, isNew] = m_unchecked.try_emplace(attempt.target);
+    const auto [it, isNew] = m_pendingChecks.try_emplace(attempt.target);
     it->second.insert(open.request.digest);
     if (isNew) {
         m_out->emplace_back(CheckTarget{attempt.target, attempt.address});
     }
 }
 
-void Balancer::Impl::on(const TargetChecked &event)
+void Balancer::Impl::handle(const TargetChecked &event)
 {
-    const auto unchecked = m_unchecked.extract(event.target);
-    if (unchecked.empty() || !event.isRefused) {
+    const auto pending = m_pendingChecks.extract(event.target);
+    if (pending.empty() || !event.isConnectionRefused) {
         return;
     }
-    m_targets.noteUnreachable(event.target, m_now);
-    for (const std::string &digest : unchecked.mapped()) {
+    m_targets.markUnreachable(event.target, m_now);
+    for (const std::string &digest : pending.mapped()) {
         if (m_quarantine.recordCrash(digest, event.target, m_now)) {
-            tellChange(digest, event.target.id, true);
+            publishSuspect(digest, event.target.id, true);
         }
     }
 }
 
-void Balancer::Impl::on(const SuspectsTold &event)
+void Balancer::Impl::handle(const SuspectsReceived &event)
 {
     for (const SuspectReport &it : event.suspects) {
         if (m_quarantine.merge(it, false, m_now)) {
-            tellChange(it.digest, {}, false);
+            publishSuspect(it.digest, {}, false);
         }
     }
 }
 
-// A target may answer a failure of its own to what it has not run to its end.
-void Balancer::Impl::excuse(const OpenRequest &open)
+// Called for answers that do not report a failure of the target itself: such a failure may be sent for a request that
+// did not run to its end.
+void Balancer::Impl::clearSuspicion(const OpenRequest &open)
 {
     if (m_quarantine.recordAnswer(open.request.digest)) {
-        tellChange(open.request.digest, {}, true);
+        publishSuspect(open.request.digest, {}, true);
     }
 }
 
-void Balancer::Impl::tellChange(const std::string &digest, const std::string &target, bool isOwn)
+void Balancer::Impl::publishSuspect(const std::string &digest, const std::string &target, bool isLocal)
 {
     m_out->emplace_back(
-        SuspectChanged{digest, target, m_quarantine.crashCount(digest), m_quarantine.statusOf(digest, m_now), isOwn});
+        SuspectChanged{digest, target, m_quarantine.crashCount(digest), m_quarantine.statusOf(digest, m_now), isLocal});
 }
 
-bool Balancer::Impl::isShutOut(const OpenRequest &open) const
+bool Balancer::Impl::isQuarantined(const OpenRequest &open) const
 {
     const QuarantineStatus standing = m_quarantine.statusOf(open.request.digest, m_now);
-    return !open.isTrial && (standing == QuarantineStatus::Quarantined || standing == QuarantineStatus::ProbeDue);
+    return !open.isProbe && (standing == QuarantineStatus::Quarantined || standing == QuarantineStatus::ProbeDue);
 }
 
-// Whether a request that was sent may also go to another target. A suspected one that may have run at the first is left
-// at that: an innocent caller tries again, and the guilty one would end a target more.
-bool Balancer::Impl::maySpread(const OpenRequest &open, AttemptOutcome outcome) const
+// Returns true if a request that was sent may also go to another target. A suspected request that may have run at the
+// first is not sent again: a caller whose request is harmless retries, while a harmful one would crash another target.
+bool Balancer::Impl::mayUseAnotherTarget(const OpenRequest &open, AttemptOutcome outcome) const
 {
-    if (open.isTrial) {
+    if (open.isProbe) {
         return outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::Withdrawn;
     }
     const QuarantineStatus standing = m_quarantine.statusOf(open.request.digest, m_now);
@@ -90,44 +91,44 @@
         || (standing == QuarantineStatus::Suspected && isCertainlyNotRun(outcome));
 }
 
-// What was sent before goes on: if a target answers, the request is free again. Cancelled, one that many callers make
-// would stay shut out after the loss of a rack at which it ran.
-bool Balancer::Impl::holdBack(OpenRequest &open)
+// Attempts that were sent before the quarantine continue: if a target answers, the request is free again. If they were
+// cancelled, a request that many callers send would stay quarantined after the loss of a rack that ran it.
+bool Balancer::Impl::refuseOrProbe(OpenRequest &open)
 {
     const std::string &digest = open.request.digest;
-    if (!isShutOut(open)) {
+    if (!isQuarantined(open)) {
         return false;
     }
-    const auto isAskedFor = [&](const auto &it) {
-        return it.second.awaitsTrial && it.second.request.digest == digest;
+    const auto isProbeRequested = [&](const auto &it) {
+        return it.second.awaitsProbe && it.second.request.digest == digest;
     };
-    const bool isTrialDue = m_quarantine.statusOf(digest, m_now) == QuarantineStatus::ProbeDue;
-    if (!isTrialDue || std::any_of(m_open.begin(), m_open.end(), isAskedFor)) {
-        refuse(open, Refusal::ShutOut);
+    const bool isProbeDue = m_quarantine.statusOf(digest, m_now) == QuarantineStatus::ProbeDue;
+    if (!isProbeDue || std::any_of(m_open.begin(), m_open.end(), isProbeRequested)) {
+        refuse(open, Refusal::Quarantined);
         return true;
     }
-    open.awaitsTrial = true;
-    m_out->emplace_back(AskTrial{open.request.id, digest});
+    open.awaitsProbe = true;
+    m_out->emplace_back(RequestProbe{open.request.id, digest});
     m_open[static_cast<std::uint64_t>(open.request.id)] = std::move(open);
     return true;
 }
 
-void Balancer::Impl::on(const TrialDecided &event)
+void Balancer::Impl::handle(const ProbeDecided &event)
 {
     const auto it = m_open.find(static_cast<std::uint64_t>(event.id));
-    if (it == m_open.end() || !it->second.awaitsTrial) {
+    if (it == m_open.end() || !it->second.awaitsProbe) {
         return;
     }
     OpenRequest &open = it->second;
-    open.awaitsTrial = false;
-    Placement placement{nullptr, 0, Refusal::ShutOut};
-    if (event.isGranted && followRoutes(open)) {
+    open.awaitsProbe = false;
+    Placement placement{nullptr, 0, Refusal::Quarantined};
+    if (event.isGranted && refreshRoute(open)) {
         m_quarantine.grantProbe(open.request.digest, m_now);
-        open.isTrial = true;
-        open.affinity = 0; // the emptiest target: if it ends, the fewest others are lost with it
+        open.isProbe = true;
+        open.affinity = 0; // use the least loaded target: if it crashes, the fewest other requests are lost
         placement = place(open);
     }
-    if (placement.target != nullptr && !isWithinQuota(open)) {
+    if (placement.target != nullptr && !chargeQuota(open)) {
         placement = {nullptr, 0, Refusal::OverQuota};
     }
     if (placement.target == nullptr) {
@@ -138,12 +139,12 @@
     startAttempt(open, placement);
 }
 
-Milliseconds Balancer::Impl::timeToTrial(const OpenRequest &open) const
+Milliseconds Balancer::Impl::timeUntilProbe(const OpenRequest &open) const
 {
     const std::optional<Duration> left = m_quarantine.timeUntilProbe(open.request.digest, m_now);
-    const Duration advised = left.value_or(LongestShutOutAdvice);
+    const Duration wait = left.value_or(MaxQuarantineRetryAfter);
     return std::chrono::duration_cast<Milliseconds>(
-        std::clamp<Duration>(advised, ShortestShutOutAdvice, LongestShutOutAdvice));
+        std::clamp<Duration>(wait, MinQuarantineRetryAfter, MaxQuarantineRetryAfter));
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Balance/TargetSet.cpp
+++ b/lib/Balance/TargetSet.cpp
@@ -1,9 +1,10 @@
-//===- TargetSet.cpp - Beliefs about targets, and the choice among them ---===//
+//===- TargetSet.cpp - Known targets and the choice among them ------------===//
 //
-// With an affinity key the choice is the least filled of the few targets that rendezvous hashing ranks first for the
-// key: all entry hosts rank alike without talking, so a target sees the same keys again and stays warm for them. When
-// these are full no other is taken: a target remembers a limited number of keys, so a key that spills over makes
-// another target forget, all become slow, and more spills over. Measured: docs/MEASUREMENTS.md.
+// With an affinity key, the choice is the first of the few targets that rendezvous hashing ranks highest for the key
+// that would answer in time, or else the least loaded of them. All entry hosts compute the same ranking without
+// communication, so a target sees the same keys again and has their data cached. If these targets are full, no other
+// one is used: a target caches a limited number of keys, so a key that spills over evicts another one elsewhere, all
+// targets become slow, and more keys spill over.
 //
 //===----------------------------------------------------------------------===//
 #include "TargetSet.h"
@@ -17,22 +18,22 @@
 namespace
 {
 
-/// What a told load is worth halves in this time.
+/// Half-life of a reported load.
 constexpr std::chrono::duration<double> LoadHalfLife{0.6};
-/// Part of the bound on cold targets that is used, since membership may be believed differently for a moment.
+/// Share of the bound on cold targets that is used, since hosts may disagree on the membership for a moment.
 constexpr double ColdMargin = 0.8;
-/// A target reports itself several times within it.
-constexpr std::chrono::seconds DoubtTime{6};
-constexpr Milliseconds FirstBlock{700};
-constexpr Milliseconds LongestBlock{4000};
+/// Unconfirmed targets are unusable after this time. A target reports several times within it.
+constexpr std::chrono::seconds ConfirmationTimeout{6};
+constexpr Milliseconds MinBlock{700};
+constexpr Milliseconds MaxBlock{4000};
 constexpr unsigned FailuresToBlock = 3;
-/// A longer rest counts as this one: a target must not be lost for good by one answer.
-constexpr std::chrono::minutes LongestRest{5};
-/// Part of a rest over which hosts that were asked for it at the same moment come back, and the longest such time.
-constexpr double ReturnPart = 0.25;
-constexpr std::chrono::seconds LongestReturn{1};
-/// A caller is told to come back after so long where a target that has rested runs its first request.
-constexpr Milliseconds FirstAfterRest{200};
+/// Upper bound of a back-off: a target must not be lost for good by one answer.
+constexpr std::chrono::minutes MaxBackoff{5};
+/// Share of a back-off over which hosts that began it at the same moment spread their return, and its upper bound.
+constexpr double ReturnSpreadShare = 0.25;
+constexpr std::chrono::seconds MaxReturnSpread{1};
+/// Advised wait while a target runs its first request after a back-off.
+constexpr Milliseconds RecoveryRetryAfter{200};
 
 } // namespace
 
@@ -41,22 +42,22 @@
     return std::max(1U, load && load->slots > 0 ? load->slots : report.slots);
 }
 
-// The told load holds this host's own requests of then; the others are taken to fade towards nothing, so that a target
-// that was full is tried again soon.
-double TargetState::believedRequests(TimePoint now) const
+// The reported load includes the requests that this host had there at that time. The requests of other hosts are
+// assumed to decay towards zero, so that a target that was full is tried again soon.
+double TargetState::estimatedRequests(TimePoint now) const
 {
     if (!load) {
         return inFlight;
     }
-    const double told = static_cast<double>(load->running) + load->waiting;
-    const double others = std::max(0.0, told - inFlightAtLoad);
+    const double reported = static_cast<double>(load->running) + load->waiting;
+    const double others = std::max(0.0, reported - inFlightAtLoad);
     const double halves = secondsOf(now - loadAt) / LoadHalfLife.count();
     return inFlight + others * std::exp2(-halves);
 }
 
-bool TargetState::isResting(TimePoint now) const
+bool TargetState::isBackingOff(TimePoint now) const
 {
-    return now < restUntil;
+    return now < backoffUntil;
 }
 
 bool TargetState::isCold(TimePoint now) const
@@ -64,9 +65,9 @@
     return now < coldUntil;
 }
 
-bool TargetState::isSuspect(TimePoint now, Duration patience) const
+bool TargetState::isUnresponsive(TimePoint now, Duration responseTimeout) const
 {
-    return awaitingSince && now - *awaitingSince > patience;
+    return awaitingSince && now - *awaitingSince > responseTimeout;
 }
 
 TargetSet::TargetSet(const BalanceSettings &settings)
@@ -83,30 +84,30 @@
 void TargetSet::apply(const RegistryChanges &changes, TimePoint now)
 {
     for (const AgedReport<TargetReport> &it : changes.targets) {
-        const auto [place, isNew] = m_targets.try_emplace(it.report.id);
-        TargetState &target = place->second;
+        const auto [entry, isNew] = m_targets.try_emplace(it.report.id);
+        TargetState &target = entry->second;
         if (!isNew && it.report.startedAt < target.report.startedAt) {
             continue;
         }
         if (it.report.startedAt > target.report.startedAt) {
-            target = {}; // neither requests, load, failures nor cold time of the life before are its own
+            target = {}; // requests, load, failures and cold time belong to the previous incarnation
         }
-        target.doubtedSince.reset(); // whoever tells of it knows it, even by an older report
+        target.unconfirmedSince.reset(); // the reporting host knows the target, even by an older report
         if (!isNew && it.report.sequence < target.report.sequence && it.report.presence != Presence::Gone) {
             continue;
         }
-        const TimePoint heardAt = now - it.age;
-        const bool isEvidence = !target.presumedCold || heardAt > *target.presumedCold;
+        const TimePoint reportedAt = now - it.age;
+        const bool isEvidence = !target.presumedColdSince || reportedAt > *target.presumedColdSince;
         target.report = it.report;
         target.region = regionOf(it.report.zone);
         target.hash = hash64(it.report.id);
         target.isSilent = it.isSilent;
         if (isEvidence) {
-            setColdUntil(target, heardAt + it.report.coldLeft, now);
-            target.presumedCold.reset();
+            setColdUntil(target, reportedAt + it.report.coldLeft, now);
+            target.presumedColdSince.reset();
         }
         if (it.report.presence == Presence::Gone && target.inFlight == 0) {
-            m_targets.erase(place);
+            m_targets.erase(entry);
         }
     }
     for (const AgedReport<HostReport> &it : changes.hosts) {
@@ -121,19 +122,19 @@
     }
 }
 
-// A control host that has just started knows nobody. Whoever lives reports to one soon; whoever ended while no control
-// host was there to notice it is never heard of again, so nobody would say that it is gone.
-void TargetSet::doubtOthers(const RegistryChanges &known, TimePoint now)
+// A control host that has just started knows no targets. Running targets report to one soon; no host would ever report
+// that a target is gone if it ended while no control host was running.
+void TargetSet::markOthersUnconfirmed(const RegistryChanges &known, TimePoint now)
 {
-    std::unordered_map<std::string_view, Milliseconds> startOfKnown;
+    std::unordered_map<std::string_view, Milliseconds> knownStartTimes;
     for (const AgedReport<TargetReport> &it : known.targets) {
-        startOfKnown[it.report.id] = it.report.startedAt;
+        knownStartTimes[it.report.id] = it.report.startedAt;
     }
     for (auto &[id, target] : m_targets) {
-        const auto it = startOfKnown.find(id);
-        const bool isKnown = it != startOfKnown.end() && it->second >= target.report.startedAt;
+        const auto it = knownStartTimes.find(id);
+        const bool isKnown = it != knownStartTimes.end() && it->second >= target.report.startedAt;
         if (!isKnown) {
-            target.doubtedSince = target.doubtedSince.value_or(now);
+            target.unconfirmedSince = target.unconfirmedSince.value_or(now);
         }
     }
 }
@@ -143,34 +144,34 @@
     m_table = std::move(table);
 }
 
-// Targets of a zone that is taken back may have become cold without a report yet.
+// Targets of a zone whose evacuation has ended may have become cold without having reported it yet.
 void TargetSet::setEvacuatedZones(const std::set<std::string> &zones, TimePoint now)
 {
     for (auto &[id, target] : m_targets) {
-        const bool isBack = m_evacuated.contains(target.report.zone) && !zones.contains(target.report.zone);
+        const bool hasEvacuationEnded = m_evacuated.contains(target.report.zone) && !zones.contains(target.report.zone);
         const ServiceTraits *traits = m_table ? m_table->service(target.report.service) : nullptr;
-        if (isBack && traits != nullptr) {
-            target.presumedCold = now;
+        if (hasEvacuationEnded && traits != nullptr) {
+            target.presumedColdSince = now;
             setColdUntil(target, std::max(target.coldUntil, now + traits->coldTime), now);
         }
     }
     m_evacuated = zones;
 }
 
-bool TargetSet::takesWork(const TargetState &target) const
+bool TargetSet::acceptsRequests(const TargetState &target) const
 {
     return target.report.presence == Presence::Ready && !target.isLeaving && !m_evacuated.contains(target.report.zone);
 }
 
 bool TargetSet::isUsable(const TargetState &target, TimePoint now) const
 {
-    if (target.doubtedSince && now - *target.doubtedSince > DoubtTime) {
+    if (target.unconfirmedSince && now - *target.unconfirmedSince > ConfirmationTimeout) {
         return false;
     }
-    return takesWork(target) && !target.isSilent && !target.isRetired;
+    return acceptsRequests(target) && !target.isSilent && !target.isRetired;
 }
 
-bool TargetSet::warmsZone(const HostReport &host, const TargetState &target) const
+bool TargetSet::warmsTarget(const HostReport &host, const TargetState &target) const
 {
     const bool zoneHasHost = std::any_of(m_entryHosts.begin(), m_entryHosts.end(),
                                          [&](const auto &it) { return it.second.zone == target.report.zone; });
@@ -182,66 +183,66 @@
     return !regionHasHost || regionOf(host.zone) == target.region;
 }
 
-std::size_t TargetSet::warmers(const TargetState &target) const
+std::size_t TargetSet::warmingHostCount(const TargetState &target) const
 {
     return static_cast<std::size_t>(std::count_if(m_entryHosts.begin(), m_entryHosts.end(),
-                                                  [&](const auto &it) { return warmsZone(it.second, target); }));
+                                                  [&](const auto &it) { return warmsTarget(it.second, target); }));
 }
 
-bool TargetSet::isWarmer(const TargetState &target) const
+bool TargetSet::isWarmingHost(const TargetState &target) const
 {
     HostReport self;
     self.zone = m_settings.zone;
-    return warmsZone(self, target);
+    return warmsTarget(self, target);
 }
 
-std::optional<Duration> TargetSet::warmInterval(const TargetState &target) const
+std::optional<Duration> TargetSet::coldRequestInterval(const TargetState &target) const
 {
     const ServiceTraits *traits = m_table ? m_table->service(target.report.service) : nullptr;
     if (traits == nullptr || traits->coldPerSecond <= 0) {
         return std::nullopt;
     }
     const double rate =
-        traits->coldPerSecond * ColdMargin / static_cast<double>(std::max<std::size_t>(1, warmers(target)));
+        traits->coldPerSecond * ColdMargin / static_cast<double>(std::max<std::size_t>(1, warmingHostCount(target)));
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / rate));
 }
 
 void TargetSet::setColdUntil(TargetState &target, TimePoint until, TimePoint now)
 {
     if (!target.isCold(now)) {
-        target.coldTokenAt.reset();
+        target.nextColdRequestAt.reset();
     }
     target.coldUntil = until;
 }
 
-// Only the entry hosts of a cold target's own zone send to it, each its part of what the target bears; so the sum over
-// all hosts stays bounded without a word between them. All of them hear of it at the same moment, so each begins at a
-// moment of its own within the interval, or they would all send at once; with many hosts that alone is more than it
-// bears. The moment is drawn when it is first asked for: a host that has just started hears of targets before it knows
-// the routing and the other hosts, upon which the interval depends.
-bool TargetSet::mayWarm(TargetState &target, TimePoint now) const
+// Only the entry hosts of a cold target's own zone send to it, each at its share of the rate that the target can serve,
+// so the sum over all hosts is bounded without communication. All hosts receive the report at the same moment, so each
+// starts at a different phase of the interval; otherwise they would all send at once, which exceeds the target's
+// capacity if there are many hosts. The phase is computed at first use, because a host that has just started learns of
+// targets before the routing and the other hosts, which the interval depends on.
+bool TargetSet::mayReceiveWhileCold(TargetState &target, TimePoint now) const
 {
-    if (!isWarmer(target)) {
+    if (!isWarmingHost(target)) {
         return false;
     }
-    if (!target.coldTokenAt) {
-        const Duration interval = warmInterval(target).value_or(Duration(0));
+    if (!target.nextColdRequestAt) {
+        const Duration interval = coldRequestInterval(target).value_or(Duration(0));
         const double phase = unitInterval(hash64(target.report.id, m_settings.seed));
-        target.coldTokenAt = now + std::chrono::duration_cast<Duration>(interval * phase);
+        target.nextColdRequestAt = now + std::chrono::duration_cast<Duration>(interval * phase);
     }
-    return now >= *target.coldTokenAt;
+    return now >= *target.nextColdRequestAt;
 }
 
 TargetState *TargetSet::chooseAmong(std::vector<TargetState *> &candidates, const TargetQuery &query, TimePoint now)
 {
-    const auto fill = [now](const TargetState *it) {
-        return (it->believedRequests(now) + 1) / it->slots();
+    const auto utilization = [now](const TargetState *it) {
+        return (it->estimatedRequests(now) + 1) / it->slots();
     };
-    const auto isEmptier = [&](const TargetState *lhs, const TargetState *rhs) {
-        return fill(lhs) < fill(rhs);
+    const auto isLessLoaded = [&](const TargetState *lhs, const TargetState *rhs) {
+        return utilization(lhs) < utilization(rhs);
     };
     if (query.affinity == 0) {
-        return *std::min_element(candidates.begin(), candidates.end(), isEmptier);
+        return *std::min_element(candidates.begin(), candidates.end(), isLessLoaded);
     }
     std::vector<std::pair<std::uint64_t, TargetState *>> ranked;
     ranked.reserve(candidates.size());
@@ -252,37 +253,37 @@
     std::sort(ranked.begin(), ranked.end(), [](const auto &lhs, const auto &rhs) { return lhs.first > rhs.first; });
     std::vector<TargetState *> first;
     for (std::size_t n = 0; n < std::min<std::size_t>(m_settings.policy.targetsPerKey, ranked.size()); ++n) {
-        if (fill(ranked[n].second) <= query.admissibleFill) {
+        if (utilization(ranked[n].second) <= query.admissibleUtilization) {
             return ranked[n].second;
         }
         first.push_back(ranked[n].second);
     }
-    return *std::min_element(first.begin(), first.end(), isEmptier);
+    return *std::min_element(first.begin(), first.end(), isLessLoaded);
 }
 
 TargetChoice TargetSet::choose(const TargetQuery &query, TimePoint now)
 {
-    std::vector<TargetState *> open;
+    std::vector<TargetState *> available;
     std::vector<TargetState *> blocked;
     std::optional<Duration> soonest;
     for (auto &[id, target] : m_targets) {
         const bool fits = target.report.service == query.service
             && (query.homeRegions == nullptr || isHome(*query.homeRegions, target))
             && (query.region.empty() || query.region == target.region) && !query.excluded.contains(id);
-        if (!fits || !isUsable(target, now) || (target.isCold(now) && !mayWarm(target, now))) {
+        if (!fits || !isUsable(target, now) || (target.isCold(now) && !mayReceiveWhileCold(target, now))) {
             continue;
         }
-        if (const std::optional<Duration> wait = untilRoom(target, query, now)) {
+        if (const std::optional<Duration> wait = untilCapacity(target, query, now)) {
             soonest = std::min(soonest.value_or(*wait), *wait);
             continue;
         }
-        const bool isDoubtful = now < target.blockedUntil || target.isSuspect(now, query.patience);
-        (isDoubtful ? blocked : open).push_back(&target);
+        const bool isUntrusted = now < target.blockedUntil || target.isUnresponsive(now, query.responseTimeout);
+        (isUntrusted ? blocked : available).push_back(&target);
     }
-    if (!open.empty()) {
-        return {chooseAmong(open, query, now), std::nullopt};
+    if (!available.empty()) {
+        return {chooseAmong(available, query, now), std::nullopt};
     }
-    // All failed lately: the one whose turn to be tried again comes first.
+    // All candidates failed recently or are unresponsive: use the one whose block ends first.
     const auto it =
         std::min_element(blocked.begin(), blocked.end(), [](const TargetState *lhs, const TargetState *rhs) {
             return lhs->blockedUntil < rhs->blockedUntil;
@@ -290,31 +291,32 @@
     return it == blocked.end() ? TargetChoice{nullptr, soonest} : TargetChoice{*it, std::nullopt};
 }
 
-// Extends a rest that has begun, and never shortens it.
-Duration TargetSet::startRest(const Incarnation &incarnation, std::chrono::duration<double> rest, TimePoint now)
+// Extends a back-off in progress, and never shortens it.
+Duration TargetSet::startBackoff(const Incarnation &incarnation, std::chrono::duration<double> backoff, TimePoint now)
 {
     TargetState *target = find(incarnation);
     if (target == nullptr) {
         return Duration(0);
     }
-    const std::chrono::duration<double> asked = std::min<std::chrono::duration<double>>(rest, LongestRest);
+    const std::chrono::duration<double> bounded = std::min<std::chrono::duration<double>>(backoff, MaxBackoff);
     const std::chrono::duration<double> spread =
-        std::min<std::chrono::duration<double>>(asked * ReturnPart, LongestReturn);
-    const double place = unitInterval(hash64(incarnation.id, m_settings.seed));
-    target->restUntil = std::max(target->restUntil, now + std::chrono::duration_cast<Duration>(asked + spread * place));
-    target->hasRested = true;
-    return target->restUntil - now;
+        std::min<std::chrono::duration<double>>(bounded * ReturnSpreadShare, MaxReturnSpread);
+    const double phase = unitInterval(hash64(incarnation.id, m_settings.seed));
+    target->backoffUntil =
+        std::max(target->backoffUntil, now + std::chrono::duration_cast<Duration>(bounded + spread * phase));
+    target->isRecovering = true;
+    return target->backoffUntil - now;
 }
 
-// Nothing if the target asks for nothing that forbids a request now. After a rest it gets one at a time until it has
-// run one.
-std::optional<Duration> TargetSet::untilRoom(TargetState &target, const TargetQuery &query, TimePoint now) const
+// Returns nothing if the target's backpressure allows a request now. After a back-off a target gets one request at a
+// time until it has run one.
+std::optional<Duration> TargetSet::untilCapacity(TargetState &target, const TargetQuery &query, TimePoint now) const
 {
-    if (target.isResting(now)) {
-        return target.restUntil - now;
+    if (target.isBackingOff(now)) {
+        return target.backoffUntil - now;
     }
-    if (target.hasRested && target.inFlight > 0) {
-        return FirstAfterRest;
+    if (target.isRecovering && target.inFlight > 0) {
+        return RecoveryRetryAfter;
     }
     return untilLimitAllows(target, query, now);
 }
@@ -339,7 +341,7 @@
     }
 }
 
-void TargetSet::giveLimitBack(const Incarnation &incarnation)
+void TargetSet::refundLimit(const Incarnation &incarnation)
 {
     TargetState *target = find(incarnation);
     if (target != nullptr && target->bucket) {
@@ -347,7 +349,7 @@
     }
 }
 
-// How many live entry hosts come before this one by rendezvous hashing for the target.
+// Returns how many live entry hosts rendezvous hashing ranks before this one for the target.
 std::size_t TargetSet::limitRank(TargetState &target) const
 {
     if (target.rankedAt != m_entryHostsVersion) {
@@ -361,25 +363,26 @@
     return target.limitRank;
 }
 
-// Nothing if a request may go there now. Less urgent requests leave one that is saved up to urgent ones.
+// Returns nothing if a request may be sent now. Less urgent requests leave one saved request to urgent ones.
 std::optional<Duration> TargetSet::untilLimitAllows(TargetState &target, const TargetQuery &query, TimePoint now) const
 {
     if (!target.limit) {
         return std::nullopt;
     }
     const std::size_t hosts = m_entryHosts.size() + (m_entryHosts.contains(m_settings.host) ? 0 : 1);
-    const std::size_t owners = ownersOf(*target.limit, hosts);
+    const std::size_t owners = ownerCount(*target.limit, hosts);
     if (limitRank(target) >= owners) {
-        // An owner may have room; how soon is not known here.
+        // An owner may have capacity; this host can't know how soon.
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / *target.limit));
     }
     if (!target.bucket) {
-        // With a part of one request, so that owners that hear of a limit at once do not all send at once.
+        // Starts with a fraction of a request, so that owners that learn of a limit at once do not all send at once.
         target.bucket.emplace(unitInterval(hash64(target.report.id, m_settings.seed)));
     }
-    const BucketTerms share = shareOf(*target.limit, owners);
+    const BucketConfig share = ownerShare(*target.limit, owners);
     const double wanted = query.isUrgent ? 1 : 2;
-    return target.bucket->has(wanted, share, now) ? std::nullopt : std::optional(target.bucket->until(wanted, share));
+    return target.bucket->has(wanted, share, now) ? std::nullopt
+                                                  : std::optional(target.bucket->timeUntil(wanted, share));
 }
 
 TargetState *TargetSet::find(const Incarnation &incarnation)
@@ -403,9 +406,9 @@
 {
     ++target.inFlight;
     target.awaitingSince = target.awaitingSince.value_or(now);
-    const std::optional<Duration> interval = target.isCold(now) ? warmInterval(target) : std::nullopt;
+    const std::optional<Duration> interval = target.isCold(now) ? coldRequestInterval(target) : std::nullopt;
     if (interval) {
-        target.coldTokenAt = now + *interval;
+        target.nextColdRequestAt = now + *interval;
     }
     if (target.bucket) {
         target.bucket->take(1);
@@ -439,7 +442,7 @@
     switch (outcome) {
     case AttemptOutcome::Answered:
     case AttemptOutcome::Shed:
-        target->hasRested &= outcome == AttemptOutcome::Shed;
+        target->isRecovering &= outcome == AttemptOutcome::Shed;
         target->failures = 0;
         target->awaitingSince = target->inFlight > 0 ? std::optional(now) : std::nullopt;
         return;
@@ -447,9 +450,9 @@
         target->isRetired = true;
         return;
     case AttemptOutcome::Withdrawn:
-        return; // the target had no part in it
+        return; // does not concern the target
     case AttemptOutcome::NotSent:
-        noteUnreachable(incarnation, now);
+        markUnreachable(incarnation, now);
         return;
     case AttemptOutcome::Lost:
     case AttemptOutcome::TimedOut:
@@ -459,7 +462,7 @@
     }
 }
 
-void TargetSet::noteUnreachable(const Incarnation &incarnation, TimePoint now)
+void TargetSet::markUnreachable(const Incarnation &incarnation, TimePoint now)
 {
     TargetState *target = find(incarnation);
     if (target == nullptr) {
@@ -475,35 +478,35 @@
         return;
     }
     const unsigned doublings = std::min(target.failures - FailuresToBlock, 4U);
-    target.blockedUntil = now + std::min<Duration>(FirstBlock * (1 << doublings), LongestBlock);
+    target.blockedUntil = now + std::min<Duration>(MinBlock * (1 << doublings), MaxBlock);
 }
 
-std::map<std::string, double> TargetSet::capacity(std::string_view service, std::optional<double> work,
+std::map<std::string, double> TargetSet::capacity(std::string_view service, std::optional<double> serviceTime,
                                                   TimePoint now) const
 {
     std::map<std::string, double> slots;
     for (const auto &[id, target] : m_targets) {
-        if (target.report.service != service || !isUsable(target, now) || target.isResting(now)) {
+        if (target.report.service != service || !isUsable(target, now) || target.isBackingOff(now)) {
             continue;
         }
-        const bool isLimited = target.limit && work;
-        slots[target.region] += isLimited ? std::min(target.slots(), *target.limit * *work) : target.slots();
+        const bool isLimited = target.limit && serviceTime;
+        slots[target.region] += isLimited ? std::min(target.slots(), *target.limit * *serviceTime) : target.slots();
     }
     return slots;
 }
 
-void TargetSet::remember(const std::vector<TargetReport> &targets, TimePoint now)
+void TargetSet::addRestored(const std::vector<TargetReport> &targets, TimePoint now)
 {
     for (const TargetReport &it : targets) {
-        const auto [place, isNew] = m_targets.try_emplace(it.id);
+        const auto [entry, isNew] = m_targets.try_emplace(it.id);
         if (!isNew) {
             continue;
         }
-        TargetState &target = place->second;
+        TargetState &target = entry->second;
         target.report = it;
         target.region = regionOf(it.zone);
         target.hash = hash64(it.id);
-        target.doubtedSince = now - (DoubtTime - RestoredTargetLifetime);
+        target.unconfirmedSince = now - (ConfirmationTimeout - RestoredTargetLifetime);
     }
 }
 
--- a/lib/Balance/TokenBucket.h
+++ b/lib/Balance/TokenBucket.h
@@ -1,4 +1,4 @@
-//===- TokenBucket.h - What may be used at once and with time ---*- C++ -*-===//
+//===- TokenBucket.h - Token bucket -----------------------------*- C++ -*-===//
 #pragma once
 
 #include "pepperlug/Support.h"
@@ -9,13 +9,13 @@
 namespace pepperlug::fleet
 {
 
-/// How a bucket fills.
-struct BucketTerms {
+/// Rate and capacity of a token bucket.
+struct BucketConfig {
     double perSecond = 0;
-    double depth = 0; ///< most that it holds
+    double depth = 0; ///< largest level
 };
 
-/// Fills with time and is emptied by use. Its terms may change from call to call.
+/// Token bucket whose configuration may change from call to call.
 class TokenBucket
 {
 public:
@@ -24,38 +24,37 @@
     {
     }
 
-    /// Whether an amount may be used now; more than the depth, whenever the bucket is full.
-    bool has(double amount, const BucketTerms &terms, TimePoint now)
+    /// Returns true if an amount may be taken now. An amount above the depth needs a full bucket.
+    bool has(double amount, const BucketConfig &config, TimePoint now)
     {
-        refill(terms, now);
-        return m_level >= std::min(amount, terms.depth);
+        refill(config, now);
+        return m_level >= std::min(amount, config.depth);
     }
 
-    /// A negative amount gives back what was taken too much; what is beyond the depth is lost at the next call of has()
-    /// or refill().
+    /// Takes an amount; a negative one is a refund. The next call of has() or refill() drops what exceeds the depth.
     void take(double amount)
     {
         m_level -= amount;
     }
 
-    /// Until has() is true, as of its last call.
-    Duration until(double amount, const BucketTerms &terms) const
+    /// Time until has() returns true, as of the last refill.
+    Duration timeUntil(double amount, const BucketConfig &config) const
     {
-        const double missing = std::max(0.0, std::min(amount, terms.depth) - m_level);
-        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / terms.perSecond));
+        const double missing = std::max(0.0, std::min(amount, config.depth) - m_level);
+        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / config.perSecond));
     }
 
-    void refill(const BucketTerms &terms, TimePoint now)
+    void refill(const BucketConfig &config, TimePoint now)
     {
-        const TimePoint filledAt = m_filledAt.value_or(now);
-        const std::chrono::duration<double> passed = std::max(Duration(0), now - filledAt);
-        m_level = std::min(terms.depth, m_level + terms.perSecond * passed.count());
-        m_filledAt = std::max(filledAt, now);
+        const TimePoint refilledAt = m_refilledAt.value_or(now);
+        const std::chrono::duration<double> passed = std::max(Duration(0), now - refilledAt);
+        m_level = std::min(config.depth, m_level + config.perSecond * passed.count());
+        m_refilledAt = std::max(refilledAt, now);
     }
 
 private:
     double m_level;
-    std::optional<TimePoint> m_filledAt; ///< nothing until it is first used
+    std::optional<TimePoint> m_refilledAt; ///< nothing until the first use
 };
 
 } // namespace pepperlug::fleet
--- a/lib/Fleet/GatewayBackpressure.cpp
+++ b/lib/Fleet/GatewayBackpressure.cpp
@@ -42,19 +42,19 @@
     }
 }
 
-void GatewayDaemon::Impl::carryOut(const RestBegun &effect)
+void GatewayDaemon::Impl::carryOut(const BackoffStarted &effect)
 {
     m_events.decision("target-rests", {{"target", effect.target}, {"for_ms", effect.length.count()}});
 }
 
 void GatewayDaemon::Impl::carryOut(const BackpressureChanged &effect)
 {
-    m_hasUnsentUpdates |= effect.isOwn;
+    m_hasUnsentUpdates |= effect.isLocal;
     m_events.state("target-signal",
                    {{"target", effect.target},
                     {"leaving", effect.isLeaving},
                     {"limit_per_s", effect.perSecond ? nlohmann::json(*effect.perSecond) : nlohmann::json()},
-                    {"noticed_here", effect.isOwn}});
+                    {"noticed_here", effect.isLocal}});
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Fleet/GatewayDaemon.cpp
+++ b/lib/Fleet/GatewayDaemon.cpp
@@ -49,8 +49,8 @@
     balance.maxShift = settings.bounds.maxShift;
     balance.linkBytesPerSecond = settings.linkBytesPerSecond;
     balance.seed = hash64(incarnation);
-    balance.newsLease = settings.updateLease;
-    balance.firstTrialPause = settings.firstProbePause;
+    balance.updateLease = settings.updateLease;
+    balance.firstProbeDelay = settings.firstProbePause;
     balance.policy = settings.policy;
     return balance;
 }
@@ -323,8 +323,8 @@
     if (!reply.changes.empty() || reply.isWhole || !reply.demand.empty()) {
         reduce(ReportsChanged{reply.changes, reply.isWhole, reply.demand, reply.cachedTargets});
     }
-    applyUpdates<SuspectsTold>(reply.suspects, reply.epoch, m_acknowledgedSuspects);
-    applyUpdates<BackpressureTold>(reply.backpressure, reply.epoch, m_acknowledgedBackpressure);
+    applyUpdates<SuspectsReceived>(reply.suspects, reply.epoch, m_acknowledgedSuspects);
+    applyUpdates<BackpressureReceived>(reply.backpressure, reply.epoch, m_acknowledgedBackpressure);
     applyTenantLoads(reply);
     updateRouting(info.from, reply);
     reportViewAge();
@@ -346,7 +346,7 @@
                               {{"tenant_hash", it.tenant}, {"per_s", it.perSecond}, {"part", it.admittedFraction}});
         }
     }
-    reduce(TenantLoadsTold{reply.loads});
+    reduce(TenantLoadsReceived{reply.loads});
 }
 
 bool GatewayDaemon::Impl::isReady()
--- a/lib/Fleet/GatewayImpl.h
+++ b/lib/Fleet/GatewayImpl.h
@@ -94,13 +94,13 @@
     // GatewayBackpressure.cpp
     void addBackpressureReports(FleetWatchCall &call, const std::string &epoch);
     void onTargetSignal(const Incarnation &target, const AnswerFields &fields, TimePoint sentAt);
-    void carryOut(const RestBegun &effect);
+    void carryOut(const BackoffStarted &effect);
     void carryOut(const BackpressureChanged &effect);
 
     // GatewaySuspects.cpp
     void addSuspectReports(FleetWatchCall &call, const std::string &epoch);
     void carryOut(const CheckTarget &effect);
-    void carryOut(const AskTrial &effect);
+    void carryOut(const RequestProbe &effect);
     void carryOut(const SuspectChanged &effect);
 
     // GatewayRequests.cpp
--- a/lib/Fleet/GatewayRequests.cpp
+++ b/lib/Fleet/GatewayRequests.cpp
@@ -56,7 +56,7 @@
 void GatewayDaemon::Impl::refuseStopping(OpenExchange &open)
 {
     m_events.decision("refused", {{"request", open.fields.requestId}, {"reason", nameOf(Refusal::Stopping)}});
-    open.exchange->respond(m_dialect.refusal({open.fields.requestId, Refusal::Stopping, ElsewhereRetryAfter}));
+    open.exchange->respond(m_dialect.refusal({open.fields.requestId, Refusal::Stopping, OtherHostRetryAfter}));
 }
 
 GatewayDaemon::Impl::OpenExchange *GatewayDaemon::Impl::findOpen(RequestId id)
@@ -126,11 +126,11 @@
                        {"service", effect.service},
                        {"tenant", effect.tenant},
                        {"key", open.fields.affinityKey},
-                       {"fill", effect.fill},
+                       {"fill", effect.utilization},
                        {"load_age_ms", effect.loadAge.count()},
                        {"table", effect.tableVersion},
                        {"newest_table", m_balancer->tableVersion()},
-                       {"has_homes", effect.hasHomes},
+                       {"has_homes", effect.hasHomeRegions},
                        {"view_age_ms", viewAge().count()},
                        {"time_left_ms", std::chrono::duration_cast<Milliseconds>(effect.timeLeft).count()}});
     open.calls[attempt] = m_client->start(std::move(call), [this, id, attempt, target, sentAt](HttpResult result) {
--- a/lib/Fleet/GatewayRouting.cpp
+++ b/lib/Fleet/GatewayRouting.cpp
@@ -117,15 +117,15 @@
 
 void GatewayDaemon::Impl::reportViewAge()
 {
-    NewsReceived received;
+    UpdateReceived received;
     {
         const std::lock_guard lock(m_mutex);
         if (!m_viewAsOf) {
             return;
         }
-        received.askedAt = *m_viewAsOf;
+        received.requestedAt = *m_viewAsOf;
         received.behindSince = m_routingLag.behindSince();
-        received.isComing = !m_needsFullRouting;
+        received.isArriving = !m_needsFullRouting;
     }
     m_metrics.gauge("pepperlug_routing_behind", received.behindSince ? 1 : 0);
     reduce(received);
--- a/lib/Fleet/GatewaySuspects.cpp
+++ b/lib/Fleet/GatewaySuspects.cpp
@@ -50,27 +50,27 @@
 }
 
 // A host that routes requests has its routes from a control host, so m_followedHost is set.
-void GatewayDaemon::Impl::carryOut(const AskTrial &effect)
+void GatewayDaemon::Impl::carryOut(const RequestProbe &effect)
 {
     m_net.call(m_followedHost, path::FleetProbe, encode(FleetProbeCall{effect.digest}), ProbeTimeout,
                [this, effect](const PeerReply &reply) {
                    const auto [decided, reason] = readReply<FleetProbeReply>(reply, "control host");
                    const bool isGranted = decided && decided->isGranted;
                    m_events.state("trial", {{"digest", effect.digest}, {"granted", isGranted}, {"reason", reason}});
-                   reduce(TrialDecided{effect.id, isGranted});
+                   reduce(ProbeDecided{effect.id, isGranted});
                });
 }
 
 void GatewayDaemon::Impl::carryOut(const SuspectChanged &effect)
 {
-    m_hasUnsentUpdates |= effect.isOwn;
+    m_hasUnsentUpdates |= effect.isLocal;
     m_metrics.count("pepperlug_suspect_changes");
     m_events.state("suspect",
                    {{"digest", effect.digest},
                     {"target", effect.target},
-                    {"ends", effect.ends},
+                    {"ends", effect.crashes},
                     {"standing", nameOf(effect.standing)},
-                    {"noticed_here", effect.isOwn}});
+                    {"noticed_here", effect.isLocal}});
 }
 
 } // namespace pepperlug::fleet
--- a/lib/Fleet/Settings.cpp
+++ b/lib/Fleet/Settings.cpp
@@ -44,9 +44,9 @@
     BalancePolicy policy;
     policy.targetsPerKey =
         static_cast<unsigned>(reader.integer("targets_per_key", 1, MaxTargetsPerKey, policy.targetsPerKey));
-    policy.hasSteadyRegions = reader.boolean("steady_regions", policy.hasSteadyRegions);
-    policy.latePart = reader.number("late_part", 0, 1, policy.latePart);
-    policy.advisesByQueue = reader.boolean("advise_by_queue", policy.advisesByQueue);
+    policy.hashesRegions = reader.boolean("steady_regions", policy.hashesRegions);
+    policy.lateDeadlineShare = reader.number("late_part", 0, 1, policy.lateDeadlineShare);
+    policy.derivesRetryAfterFromQueue = reader.boolean("advise_by_queue", policy.derivesRetryAfterFromQueue);
     return policy;
 }
 
--- a/unittests/Balance/AdmissionTest.cpp
+++ b/unittests/Balance/AdmissionTest.cpp
@@ -1,4 +1,4 @@
-//===- AdmissionTest.cpp - Which requests are let in ----------------------===//
+//===- AdmissionTest.cpp - Tests of admission control ---------------------===//
 #include "Balance/Admission.h"
 
 #include <catch2/catch.hpp>
@@ -15,51 +15,51 @@
     AdmissionQuery it;
     it.objectiveLeft = 200ms;
     it.timeLeft = 1200ms;
-    it.warmWork = 80ms;
-    it.work = 100ms;
+    it.warmServiceTime = 80ms;
+    it.serviceTime = 100ms;
     it.isUrgent = true;
     return it;
 }
 
 } // namespace
 
-TEST_CASE("a request is let in while its predicted answer is in time")
+TEST_CASE("a request is admitted if its answer is predicted to be in time")
 {
-    // 0.9 of 200 ms less 80 ms of work leave 100 ms to wait, in which one more filling of the slots is served.
-    CHECK(admissibleFill(urgentRequest()) == Approx(2.0));
+    // 0.9 of 200 ms less 80 ms of service time leave 100 ms of queueing, in which each slot serves one more request.
+    CHECK(admissibleUtilization(urgentRequest()) == Approx(2.0));
 }
 
-TEST_CASE("a way to another region leaves less time to wait")
+TEST_CASE("the latency to another region leaves less time for queueing")
 {
     AdmissionQuery query = urgentRequest();
-    query.way = 50ms;
-    CHECK(admissibleFill(query) == Approx(1.5));
+    query.extraLatency = 50ms;
+    CHECK(admissibleUtilization(query) == Approx(1.5));
 }
 
-TEST_CASE("less urgent requests leave room for urgent ones")
+TEST_CASE("less urgent requests leave capacity for urgent ones")
 {
     AdmissionQuery query = urgentRequest();
     query.isUrgent = false;
-    CHECK(admissibleFill(query) == Approx(1.7));
+    CHECK(admissibleUtilization(query) == Approx(1.7));
     query.objectiveLeft = 10ms;
-    CHECK(admissibleFill(query) == Approx(0.9));
+    CHECK(admissibleUtilization(query) == Approx(0.9));
 }
 
-TEST_CASE("a free slot may be used whatever the prediction says")
+TEST_CASE("a free slot may be used whatever the prediction")
 {
     AdmissionQuery query = urgentRequest();
     query.objectiveLeft = -50ms;
-    CHECK(admissibleFill(query) == Approx(1.0));
-    query.work.reset();
-    query.warmWork.reset();
-    CHECK(admissibleFill(query) == Approx(1.0));
+    CHECK(admissibleUtilization(query) == Approx(1.0));
+    query.serviceTime.reset();
+    query.warmServiceTime.reset();
+    CHECK(admissibleUtilization(query) == Approx(1.0));
 }
 
-TEST_CASE("a returning caller is served late rather than never")
+TEST_CASE("a request of a returning caller is admitted even if its answer will be late")
 {
     AdmissionQuery query = urgentRequest();
-    query.latePart = 0.35;
-    CHECK(admissibleFill(query) > admissibleFill(urgentRequest()));
+    query.lateDeadlineShare = 0.35;
+    CHECK(admissibleUtilization(query) > admissibleUtilization(urgentRequest()));
     query.timeLeft = 100ms;
-    CHECK(admissibleFill(query) == Approx(admissibleFill(urgentRequest())));
+    CHECK(admissibleUtilization(query) == Approx(admissibleUtilization(urgentRequest())));
 }
--- a/unittests/EndingRequests/SpreadTest.cpp
+++ b/unittests/EndingRequests/SpreadTest.cpp
@@ -177,7 +177,7 @@
     void carryOut(unsigned n, const RefuseRequest &effect)
     {
         m_outcome.hotQuarantined +=
-            m_entries[n].open[static_cast<std::uint64_t>(effect.id)] == "hot" && effect.reason == Refusal::ShutOut;
+            m_entries[n].open[static_cast<std::uint64_t>(effect.id)] == "hot" && effect.reason == Refusal::Quarantined;
     }
 
     void carryOut(unsigned n, const PassAnswer &effect)
@@ -324,8 +324,8 @@
             to.quarantine.merge(it, true, m_now);
         }
         entry.reported[control] = {to.incarnation, own.version()};
-        SuspectsTold suspects{to.quarantine.changedSince(knownVersion(entry.received[control], to.incarnation),
-                                                         UpdateRecipient::EntryHost, m_now)};
+        SuspectsReceived suspects{to.quarantine.changedSince(knownVersion(entry.received[control], to.incarnation),
+                                                             UpdateRecipient::EntryHost, m_now)};
         entry.received[control] = {to.incarnation, to.quarantine.version()};
         reduce(n, suspects);
     }
--- a/unittests/InForce/RoutesChangeTest.cpp
+++ b/unittests/InForce/RoutesChangeTest.cpp
@@ -170,7 +170,7 @@
     ChangingHost host;
     const RequestId waiting = host.request("/once/x");
     const TimePoint learnedAt = host.now;
-    host.reduce(NewsReceived{host.now, learnedAt});
+    host.reduce(UpdateReceived{host.now, learnedAt});
     host.now += UpdateLease;
     host.reduce(BalanceTick{});
     CHECK_FALSE(host.balancer.isSuspended());
@@ -191,26 +191,26 @@
     SECTION("the routes arrive")
     {
         host.putTable();
-        host.reduce(NewsReceived{host.now});
+        host.reduce(UpdateReceived{host.now});
     }
     SECTION("one change arrives, and another that it has confirmed is still missing")
     {
         host.putTable();
-        host.reduce(NewsReceived{host.now, host.now});
+        host.reduce(UpdateReceived{host.now, host.now});
         CHECK(host.balancer.isSuspended());
         host.putTable();
-        host.reduce(NewsReceived{host.now});
+        host.reduce(UpdateReceived{host.now});
     }
     SECTION("it finds that it can't decode what it has confirmed")
     {
-        host.reduce(NewsReceived{host.now, learnedAt, false});
+        host.reduce(UpdateReceived{host.now, learnedAt, false});
         CHECK(host.balancer.isSuspended());
         host.putTable();
-        host.reduce(NewsReceived{host.now});
+        host.reduce(UpdateReceived{host.now});
     }
     SECTION("it is cut off, so no host waits for it")
     {
-        host.reduce(NewsReceived{host.now, learnedAt});
+        host.reduce(UpdateReceived{host.now, learnedAt});
         host.now += 2 * UpdateLease;
         host.reduce(BalanceTick{});
         REQUIRE(host.balancer.isSuspended());
@@ -225,11 +225,11 @@
 TEST_CASE("a host that can't decode newer routes, or that is cut off, goes on using its own")
 {
     ChangingHost host;
-    NewsReceived update{host.now};
+    UpdateReceived update{host.now};
     SECTION("it can't decode them")
     {
         update.behindSince = host.now;
-        update.isComing = false;
+        update.isArriving = false;
     }
     SECTION("it has not received any")
     {
