--- a/lib/Routes/RouteTable.cpp
+++ b/lib/Routes/RouteTable.cpp
@@ -31,7 +31,7 @@
         fault(".timeout", "must be longer than 0");
     }
     if (route.objective >= route.timeout + MaxObjectiveExcess) {
-        fault(".objective", "must exceed the timeout of the route by less than a minute");
+        fault(".objective", "must not exceed the timeout of the route by a minute or more");
     }
     double sum = 0;
     for (const WeightedService &part : route.services) {
